--- a/apps/stallwing/src/lib/commands/budgetCommands.ts
+++ b/apps/stallwing/src/lib/commands/budgetCommands.ts
@@ -1,8 +1,8 @@
 import { createInterface } from 'node:readline/promises'
 import {
-	doubtEntry,
+	markEntryInDoubt,
 	entryKey,
-	noteSealed,
+	addSealed,
 	releaseEntry,
 	shardKey,
 	zoneKeys,
@@ -190,9 +190,9 @@
 		if (!found) return 0
 		const value = found.value as ZoneLedgerValue
 		let freed = 0
-		noteSealed(value, key)
+		addSealed(value, key)
 		for (const row of Object.values(value.budgets)) {
-			doubtEntry(row, key)
+			markEntryInDoubt(row, key)
 			freed += releaseEntry(row, key)
 		}
 		const result = await platform.call({
--- a/apps/stallwing/src/main.ts
+++ b/apps/stallwing/src/main.ts
@@ -1,5 +1,5 @@
 /** The `stallwing` command. */
-import { PlatformUnavailable } from '@stallwing/store'
+import { PlatformUnavailableError } from '@stallwing/store'
 import { Command, CommanderError } from 'commander'
 import { CommandError, EXIT } from './lib/CommandError.js'
 import { addBudgetCommands } from './lib/commands/budgetCommands.js'
@@ -50,7 +50,7 @@
 		process.stderr.write(`stallwing: ${error.message}\n`)
 		return error.exitCode
 	}
-	if (error instanceof PlatformUnavailable) {
+	if (error instanceof PlatformUnavailableError) {
 		process.stderr.write(`stallwing: ${error.message}\n`)
 		return EXIT.unavailable
 	}
--- a/internal/bench/src/capacity.ts
+++ b/internal/bench/src/capacity.ts
@@ -4,9 +4,9 @@
 	emptyZoneLedger,
 	entryKey,
 	grantToBox,
-	ledgerBudget,
-	noteAllotment,
-	noteCounters,
+	getOrCreateLedgerBudget,
+	raiseAllotment,
+	raiseCounters,
 	SliceLedger,
 	type BoxName,
 	type BudgetName,
@@ -136,13 +136,13 @@
 function makeLedger(budgets: number, boxes: number): ZoneLedgerValue {
 	const value = emptyZoneLedger()
 	for (let b = 0; b < budgets; b++) {
-		const row = ledgerBudget(value, brandId<BudgetName>(`budget-${b}`))
-		noteAllotment(row, 100_000_000)
+		const row = getOrCreateLedgerBudget(value, brandId<BudgetName>(`budget-${b}`))
+		raiseAllotment(row, 100_000_000)
 		for (let i = 0; i < boxes; i++) {
 			const incarnation = brandId<Incarnation>('0mx5ycai9x-5609e5')
 			const key = entryKey(brandId<BoxName>(`zone-a-box-${i}`), incarnation)
 			grantToBox(row, key, 1_000_000)
-			noteCounters(row, key, { granted: 0, returned: 0, billed: 123_456, sent: 0, received: 0 })
+			raiseCounters(row, key, { granted: 0, returned: 0, billed: 123_456, sent: 0, received: 0 })
 		}
 	}
 	return value
--- a/internal/bench/src/gateway.ts
+++ b/internal/bench/src/gateway.ts
@@ -52,25 +52,25 @@
 	store: store.connection('box-1'),
 	isFirstStart: true,
 	storeReadsPerSecond: 6_000,
-	documents: BENCH_DOCUMENTS,
+	storeLayout: BENCH_DOCUMENTS,
 	dialect: BENCH_DIALECT,
-	repeatLimits: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
+	retryLimits: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
 	coldLimits: { overrun: 1.5, tolerance: 5 },
-	configurationBoundMs: 3_000,
+	configurationPropagationLimitMs: 3_000,
 	contactMs: 4_000,
-	graceMs: 500,
+	shutdownGraceMs: 500,
 	metrics: new Metrics(),
 	log: (event) => log.log(event),
 	now: () => performance.now(),
 	wallTime: () => Date.now(),
 	aliveMs: () => performance.now(),
-	worldNow: () => performance.now(),
+	suspendAwareNow: () => performance.now(),
 	random: Math.random,
 })
 store.put(BENCH_DOCUMENTS.configKey, JSON.stringify(BENCH_CONFIG))
 for (const [key, document] of targetDocuments(ENGINES, ports)) store.put(key, document)
 const { callers } = await gateway.start()
-while (!gateway.ready) await sleep(50)
+while (!gateway.isReady) await sleep(50)
 
 await load(WARM_UP)
 const idle = await processorMs(() => sleep(IDLE_MS))
--- a/internal/bench/src/lib/gatewayWorld.ts
+++ b/internal/bench/src/lib/gatewayWorld.ts
@@ -8,14 +8,19 @@
 	type TrafficConfig,
 	type ZoneName,
 } from '@stallwing/core'
-import type { Dialect, Documents } from '@stallwing/gateway'
+import type { Dialect, StoreLayout } from '@stallwing/gateway'
 import { PLAIN_HEADERS, PLAIN_OWN_HEADER } from '@stallwing/standins'
 import * as E from 'fp-ts/lib/Either.js'
 
 const ENGINE = brandId<ServiceName>('engine')
 const PLAIN = brandId<ServiceName>('plain')
 const PLAIN_TARGETS = 4
-const LIMITS = { headerBytes: 16_384, bodyBytes: 4_194_304, headerMs: 3_000, idleMs: 15_000 }
+const LIMITS = {
+	maxHeaderBytes: 16_384,
+	maxBodyBytes: 4_194_304,
+	headerTimeoutMs: 3_000,
+	idleTimeoutMs: 15_000,
+}
 const REFUSED_STATUS = 503
 
 /** Path prefixes of the two routes of the bench. */
@@ -35,13 +40,13 @@
 			kind: 'stream',
 			resumable: false,
 			timeoutMs: 6_000,
-			aimMs: 600,
-			pauseAimMs: 400,
+			latencyGoalMs: 600,
+			eventGapGoalMs: 400,
 			rank: 0,
 			shares: [{ service: ENGINE, weight: 1 }],
 			maxAttempts: 1,
-			open: false,
-			statesWork: true,
+			isPublic: false,
+			requiresDeclaredWork: true,
 			regions: undefined,
 		},
 		{
@@ -51,13 +56,13 @@
 			kind: 'once',
 			resumable: false,
 			timeoutMs: 1_000,
-			aimMs: 200,
-			pauseAimMs: undefined,
+			latencyGoalMs: 200,
+			eventGapGoalMs: undefined,
 			rank: 1,
 			shares: [{ service: PLAIN, weight: 1 }],
 			maxAttempts: 1,
-			open: false,
-			statesWork: false,
+			isPublic: false,
+			requiresDeclaredWork: false,
 			regions: undefined,
 		},
 	],
@@ -77,7 +82,7 @@
 	limits: LIMITS,
 }
 
-export const BENCH_DOCUMENTS: Documents = {
+export const BENCH_DOCUMENTS: StoreLayout = {
 	configPrefix: 'config/',
 	configKey: 'config/now',
 	cordonPrefix: 'config/cordon/',
@@ -114,12 +119,12 @@
 /** Names of headers as the bench's own targets and callers spell them. */
 export const BENCH_DIALECT: Dialect = {
 	headers: PLAIN_HEADERS,
-	fleetHeaders: new Set(['authorization', 'account', 'expected-target', 'deadline-ms', 'rank']),
+	reservedHeaders: new Set(['authorization', 'account', 'expected-target', 'deadline-ms', 'rank']),
 	ownHeader: PLAIN_OWN_HEADER,
 	unreadHeaders: new Set(['own-instance']),
-	lowestRank: 9,
+	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
-	startLimits: LIMITS,
+	initialLimits: LIMITS,
 	readWork: (header) => {
 		const stated = header('work')?.split(',')
 		if (!stated) return E.right(undefined)
@@ -139,5 +144,5 @@
 		const [running = 0, waiting = 0, slots = 1] = text.split(',').map(Number)
 		return { running, waiting, slots }
 	},
-	statusOf: () => REFUSED_STATUS,
+	statusFor: () => REFUSED_STATUS,
 }
--- a/internal/bench/src/routing.ts
+++ b/internal/bench/src/routing.ts
@@ -85,7 +85,7 @@
 	function report(): void {
 		for (const view of views)
 			view.forEach((state, i) => {
-				state.reported = targets[i]?.running ?? 0
+				state.reportedLoad = targets[i]?.running ?? 0
 				state.reportedAt = queue.now
 				state.startedSinceReport = 0
 			})
@@ -117,9 +117,10 @@
 	}
 
 	function note(state: TargetState, fails: boolean, ms: number): void {
-		state.failureShare += 0.1 * (Number(fails) - state.failureShare)
-		state.failures = fails ? state.failures + 1 : 0
-		if (way.eject && state.failures >= EJECT_AFTER) state.ejectedUntil = queue.now + EJECT_MS
+		state.failureRate += 0.1 * (Number(fails) - state.failureRate)
+		state.consecutiveFailures = fails ? state.consecutiveFailures + 1 : 0
+		if (way.eject && state.consecutiveFailures >= EJECT_AFTER)
+			state.ejectedUntil = queue.now + EJECT_MS
 		if (fails) failed++
 		else latencies.push(ms)
 	}
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -8,7 +8,11 @@
 	newestRevision,
 	type StoreRevision,
 } from './lib/StoreRevision.js'
-export { InvariantBreach, assertInvariant, type InvariantName } from './lib/InvariantBreach.js'
+export {
+	InvariantViolation,
+	assertInvariant,
+	type InvariantName,
+} from './lib/InvariantViolation.js'
 export {
 	REFUSAL_STATUS,
 	notRun,
@@ -45,7 +49,7 @@
 } from './lib/identity/IdentityRecord.js'
 export { type Ticket } from './lib/identity/LogSender.js'
 export { WitnessCopy, type MoneyRow, type LogBatch } from './lib/identity/WitnessCopy.js'
-export { mostInWindow } from './lib/mostInWindow.js'
+export { maxCountInWindow } from './lib/maxCountInWindow.js'
 export { rendezvous, rendezvousFirst, rendezvousRank } from './lib/identity/rendezvous.js'
 export {
 	brandId,
@@ -84,13 +88,13 @@
 export {
 	emptyShard,
 	shardOf,
-	zoneAllotment,
+	getOrCreateZoneAllotment,
 	outstandingInShard,
 	freeInShard,
 	unspentInShard,
 	wantedInShard,
 	allotToZone,
-	noteZoneCounters,
+	raiseZoneCounters,
 	setPrepaid,
 	type ZoneAllotment,
 	type ShardBudget,
@@ -98,32 +102,32 @@
 } from './lib/money/BudgetShard.js'
 export {
 	EMPTY_COUNTERS,
-	heldAmount,
+	balanceOf,
 	SliceLedger,
 	type SliceCounters,
 } from './lib/money/SliceLedger.js'
 export {
 	entryKey,
-	splitEntryKey,
+	parseEntryKey,
 	emptyZoneLedger,
-	ledgerBudget,
+	getOrCreateLedgerBudget,
 	outstandingInZone,
 	freeInZone,
 	billedInZone,
 	inDoubtInZone,
-	noteAllotment,
+	raiseAllotment,
 	grantToBox,
-	noteCounters,
-	noteSealed,
+	raiseCounters,
+	addSealed,
 	sealEntry,
-	doubtEntry,
+	markEntryInDoubt,
 	releaseEntry,
 	closeEntry,
-	giveUpToShard,
+	returnToShard,
 	type LedgerEntry,
 	type LedgerBudget,
 	type ZoneLedgerValue,
-	type Testimony,
+	type ReplicaReport,
 } from './lib/money/ZoneLedger.js'
 export { type OpId, type PlatformOp, type PlatformResult } from './lib/platform/PlatformOp.js'
 export { type RunStage, type Run, type WaitReason } from './lib/requests/Run.js'
@@ -177,32 +181,32 @@
 	type PickResult,
 } from './lib/routing/pickTarget.js'
 export { SECOND_MS, type Amount, type Millis } from './lib/units.js'
-export { type AllowanceView, AllowanceBook } from './lib/allowance/AllowanceBook.js'
+export { type AllowanceView, AllowanceLedger } from './lib/allowance/AllowanceLedger.js'
 export {
-	DRAW_WITNESSES,
+	MIN_DRAW_REPLICAS,
 	EMPTY_ALLOWANCE_ROW,
-	drawnAtMostByOthers,
+	maxDrawnByOthers,
 	spentByOthers,
 	isDrawKnown,
-	isOfEra,
+	isWrittenInEra,
 	type AllowanceRow,
 	type BoxDraws,
 	isOverBudget,
-	richestBoxes,
-	secondsToEnd,
-	unheardBoxes,
+	boxesByUnspent,
+	secondsToExhaustion,
+	boxesWithStaleDraws,
 } from './lib/allowance/AllowanceRow.js'
 export {
-	PROMISE_MS,
-	MARK_LEASE_MS,
-	NEAR_END_SECONDS,
-	START_PROOF_MS,
-	isMarkLow,
-	mayLackDraws,
-	nextMark,
-	spentAtMost,
-	type SpendingMark,
-} from './lib/allowance/SpendingMark.js'
+	SPENDING_LIMIT_VALIDITY_MS,
+	SPENDING_LIMIT_LEASE_MS,
+	NEAR_EXHAUSTION_SECONDS,
+	MIN_CLAIM_UPTIME_MS,
+	isSpendingLimitLow,
+	mayMissDraws,
+	nextSpendingLimit,
+	maxSpentByPredecessor,
+	type SpendingLimits,
+} from './lib/allowance/SpendingLimits.js'
 export {
 	allLenders,
 	lendersFor,
@@ -210,36 +214,36 @@
 	type FleetMember,
 	watchersFor,
 } from './lib/allowance/chooseLenders.js'
-export { SpentWords } from './lib/allowance/SpentWords.js'
-export { largestOf, mergeLostDraws } from './lib/allowance/mergeLostDraws.js'
-export { isDrawOff, planClaim, planDraw, type Budgets } from './lib/allowance/planDraw.js'
-export { TargetBoard } from './lib/placement/TargetBoard.js'
+export { RemainingTokensCache } from './lib/allowance/RemainingTokensCache.js'
+export { maxByAccount, mergeLostDraws } from './lib/allowance/mergeLostDraws.js'
+export { isDrawDue, planClaim, planDraw, type Budgets } from './lib/allowance/planDraw.js'
+export { TargetRegistry } from './lib/placement/TargetRegistry.js'
 export { type AttemptHandle } from './lib/placement/AttemptHandle.js'
-export { type Place, type PlaceQuery } from './lib/placement/Place.js'
+export { type Placement, type PlacementQuery } from './lib/placement/Placement.js'
 export { type TargetChanges } from './lib/placement/TargetChanges.js'
 export { type TargetWork } from './lib/placement/TargetWork.js'
-export { type NoticedTarget } from './lib/placement/NoticedTarget.js'
-export { type ColdLimits, type ColdStart } from './lib/placement/coldRate.js'
-export { type RateShare } from './lib/placement/FleetRateGate.js'
-export { type RateView } from './lib/placement/RateView.js'
-export { type RequestRate } from './lib/placement/TargetNotices.js'
-export { type TargetRatesOptions } from './lib/placement/TargetRates.js'
+export { type TargetNoticeStatus } from './lib/placement/TargetNoticeStatus.js'
+export { type ColdLimits, type ColdStart } from './lib/placement/coldRateLimit.js'
+export { type RateLimitShare } from './lib/placement/FleetRateLimiter.js'
+export { type RateLimitStatus } from './lib/placement/RateLimitStatus.js'
+export { type AdvertisedRate } from './lib/placement/TargetNotices.js'
+export { type TargetRateLimitsOptions } from './lib/placement/TargetRateLimits.js'
 export { type ClosedCause, type ClosedService } from './lib/placement/TargetAdmission.js'
 export { type CordonChanges, type ZoneCordon } from './lib/placement/ZoneCordons.js'
-export { RestoredTargets } from './lib/placement/RestoredTargets.js'
-export { LapsedTargets } from './lib/placement/LapsedTargets.js'
+export { RestoredTargetFilter } from './lib/placement/RestoredTargetFilter.js'
+export { ExpiredTargets } from './lib/placement/ExpiredTargets.js'
 export { type TargetEntry, type TargetLoad } from './lib/placement/TargetEntry.js'
-export { type AttemptVerdict } from './lib/placement/TargetState.js'
-export { RepeatBudget, type RepeatLimits } from './lib/retry/RepeatBudget.js'
+export { type TargetOutcome } from './lib/placement/TargetState.js'
+export { RetryBudget, type RetryLimits } from './lib/retry/RetryBudget.js'
 export {
 	decideAfterAttempt,
 	type AttemptFacts,
 	type AttemptResult,
-	type GiveUpReason,
+	type NotAnsweredReason,
 	type NextStep,
 } from './lib/retry/decideAfterAttempt.js'
 export { EventSplitter, type StreamEvent } from './lib/stream/EventSplitter.js'
-export { worstCaseTokens, type PromptPart, type StatedWork } from './lib/traffic/StatedWork.js'
+export { maxTotalTokens, type PromptPart, type DeclaredWork } from './lib/traffic/DeclaredWork.js'
 export {
 	type Account,
 	type RequestLimits,
@@ -251,8 +255,12 @@
 } from './lib/traffic/TrafficConfig.js'
 export { allowsRegion, type AllowedRegions } from './lib/traffic/allowsRegion.js'
 export { TrafficIndex } from './lib/traffic/TrafficIndex.js'
-export { shedPart } from './lib/overload/shedPart.js'
-export { lifeOf, type TargetLife, type TargetStart } from './lib/placement/TargetLife.js'
+export { shedFraction } from './lib/overload/shedFraction.js'
+export {
+	incarnationOf,
+	type TargetIncarnation,
+	type TargetIdentity,
+} from './lib/placement/TargetIncarnation.js'
 export { type CrashRecord, type CrashedRun } from './lib/quarantine/CrashRecord.js'
 export {
 	RequestQuarantine,
--- a/packages/core/src/lib/InvariantBreach.ts
+++ b/packages/core/src/lib/InvariantViolation.ts
@@ -10,7 +10,7 @@
 	| 'bundle-not-reverted'
 
 /** Thrown when an invariant does not hold. The write that would break it is not made. @public */
-export class InvariantBreach extends Error {
+export class InvariantViolation extends Error {
 	readonly kind = 'invariant-breach'
 	constructor(
 		readonly invariant: InvariantName,
@@ -30,5 +30,5 @@
 	invariant: InvariantName,
 	facts: Readonly<Record<string, string | number | boolean>>,
 ): void {
-	if (!holds) throw new InvariantBreach(invariant, facts)
+	if (!holds) throw new InvariantViolation(invariant, facts)
 }
--- a/packages/core/src/lib/allowance/AllowanceBook.ts
+++ b/packages/core/src/lib/allowance/AllowanceLedger.ts
@@ -1,4 +1,4 @@
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import type { AccountName } from '../ids.js'
 import type { Millis } from '../units.js'
 import { DemandMeter } from './DemandMeter.js'
@@ -8,19 +8,19 @@
 	/** Cumulative draw of the box that the store is known to hold. */
 	drawn: number
 	/** Draws of earlier incarnations: taken as spent, since nobody can tell. */
-	spentBefore: number
+	spentByPredecessors: number
 	/** Spending ceiling while the promise to the store holds; counted like `drawn`. */
-	mark: number
+	spendingLimit: number
 	/** Tokens reserved by open requests and charged by ended ones, of this incarnation. */
 	used: number
 	/** Nothing may be reserved until a draw under the configuration of this revision: the budget fell. */
-	frozenUntil: number
+	frozenUntilVersion: number
 	/** Revision of the configuration that last lowered the budget; 0: none did. */
-	loweredAt: number
+	loweredAtVersion: number
 	/** What reservations free is lost: it may lie above a budget that was lowered meanwhile. */
-	losesRefunds: boolean
+	discardsRefunds: boolean
 	/** All draws together lie above a budget that was lowered: what reservations free is given up. */
-	isOver: boolean
+	isOverBudget: boolean
 	readonly demand: DemandMeter
 }
 
@@ -29,13 +29,13 @@
 	readonly account: AccountName
 	readonly drawn: number
 	/** Tokens that are surely spent or may be: draws below this must not be given back. */
-	readonly floor: number
+	readonly committed: number
 	/** What may be reserved right now. */
 	readonly free: number
 	/** What is drawn and not spent, the promise aside. */
-	readonly held: number
+	readonly unspent: number
 	/** Spending ceiling that the store knows of. */
-	readonly mark: number
+	readonly spendingLimit: number
 	readonly tokensPerSecond: number
 	readonly frozen: boolean
 }
@@ -46,40 +46,40 @@
  * a budget.
  * @public
  */
-export class AllowanceBook {
+export class AllowanceLedger {
 	private readonly accounts = new Map<AccountName, AccountAllowance>()
 	private closed = false
 	/** The promise to the store is over: the ceiling of an account is its draw. */
-	private promiseOver = false
+	private spendingLimitsExpired = false
 
 	/** What earlier incarnations spent at most; undefined until this one may draw. */
-	private before: Readonly<Record<AccountName, number>> | undefined
+	private spentByPredecessors: Readonly<Record<AccountName, number>> | undefined
 
 	/** True once this incarnation may draw. Until then it spends only what it borrowed. */
 	get claimed(): boolean {
-		return this.before !== undefined
+		return this.spentByPredecessors !== undefined
 	}
 
 	/** Takes the draws of earlier incarnations as spent; of them nothing is free until the first draw. */
 	claim(spent: Readonly<Record<AccountName, number>>): void {
-		this.before = spent
+		this.spentByPredecessors = spent
 		for (const [account, tokens] of Object.entries<number>(spent)) {
 			const allowance = this.allowance(account as AccountName)
-			allowance.spentBefore = tokens
+			allowance.spentByPredecessors = tokens
 			allowance.drawn = tokens
-			allowance.mark = tokens
+			allowance.spendingLimit = tokens
 		}
 	}
 
 	/** Notes what a request asks for, whether or not it gets it. */
-	noteDemand(account: AccountName, tokens: number, now: Millis): void {
+	recordDemand(account: AccountName, tokens: number, now: Millis): void {
 		this.allowance(account).demand.add(tokens, now)
 	}
 
 	/** Sets aside the worst case of a request. False: this box holds too little. */
 	reserve(account: AccountName, tokens: number): boolean {
 		const allowance = this.allowance(account)
-		if (this.closed || allowance.frozenUntil > 0) return false
+		if (this.closed || allowance.frozenUntilVersion > 0) return false
 		if (this.freeOf(allowance) < tokens) return false
 		allowance.used += tokens
 		return true
@@ -90,9 +90,9 @@
 		assertInvariant(charged <= reserved, 'slice-not-overdrawn', { account, reserved, charged })
 		const allowance = this.allowance(account)
 		const refund = reserved - charged
-		if (allowance.losesRefunds) return
+		if (allowance.discardsRefunds) return
 		allowance.used -= refund
-		if (allowance.isOver) allowance.drawn -= refund
+		if (allowance.isOverBudget) allowance.drawn -= refund
 	}
 
 	/** True once nothing is reserved any more. */
@@ -111,7 +111,7 @@
 	 */
 	lend(account: AccountName, tokens: number): number {
 		const allowance = this.allowance(account)
-		if (this.closed || allowance.frozenUntil > 0) return 0
+		if (this.closed || allowance.frozenUntilVersion > 0) return 0
 		const lent = Math.min(tokens, Math.max(0, this.freeOf(allowance)))
 		allowance.used += lent
 		return lent
@@ -121,9 +121,9 @@
 	 * All that may be handed to another box. Nothing of an account whose budget fell: what the new one
 	 * bears is not known before the next draw.
 	 */
-	handOver(account: AccountName): number {
+	lendAll(account: AccountName): number {
 		const allowance = this.allowance(account)
-		if (allowance.frozenUntil > 0) return 0
+		if (allowance.frozenUntilVersion > 0) return 0
 		const tokens = Math.max(0, this.freeOf(allowance))
 		allowance.used += tokens
 		return tokens
@@ -135,14 +135,14 @@
 	 */
 	borrow(account: AccountName, tokens: number, budgetsVersion: number): void {
 		const allowance = this.allowance(account)
-		if (budgetsVersion >= allowance.loweredAt) allowance.used -= tokens
+		if (budgetsVersion >= allowance.loweredAtVersion) allowance.used -= tokens
 	}
 
 	/**
 	 * Gives up what lies above a draw, before a write that says so is sent: from then on the write may
 	 * land at any moment.
 	 */
-	lower(account: AccountName, drawn: number): void {
+	lowerDraw(account: AccountName, drawn: number): void {
 		const allowance = this.allowance(account)
 		allowance.drawn = Math.min(allowance.drawn, drawn)
 	}
@@ -151,13 +151,13 @@
 	 * A write with this draw succeeded, made under the configuration of a revision. Reading the draw is
 	 * not enough: an older write may still land. `isOver`: all draws together lie above the budget.
 	 */
-	confirm(account: AccountName, drawn: number, budgetsVersion: number, isOver: boolean): void {
+	confirmDraw(account: AccountName, drawn: number, budgetsVersion: number, isOver: boolean): void {
 		const allowance = this.allowance(account)
-		const floor = allowance.spentBefore + allowance.used
+		const floor = allowance.spentByPredecessors + allowance.used
 		assertInvariant(drawn >= floor, 'slice-not-overdrawn', { account, drawn, floor })
 		allowance.drawn = drawn
-		allowance.isOver = isOver
-		if (budgetsVersion >= allowance.frozenUntil) allowance.frozenUntil = 0
+		allowance.isOverBudget = isOver
+		if (budgetsVersion >= allowance.frozenUntilVersion) allowance.frozenUntilVersion = 0
 	}
 
 	/**
@@ -166,32 +166,32 @@
 	 */
 	freeze(account: AccountName, budgetsVersion: number): void {
 		const allowance = this.allowance(account)
-		allowance.loweredAt = budgetsVersion
+		allowance.loweredAtVersion = budgetsVersion
 		if (this.claimed) {
-			allowance.frozenUntil = budgetsVersion
+			allowance.frozenUntilVersion = budgetsVersion
 			return
 		}
 		allowance.used = Math.max(0, allowance.used)
-		allowance.losesRefunds = true
+		allowance.discardsRefunds = true
 	}
 
 	/** Keeps to a lower ceiling, before the store is told of it. */
-	lowerMark(account: AccountName, mark: number): void {
+	lowerSpendingLimit(account: AccountName, mark: number): void {
 		const allowance = this.allowance(account)
-		allowance.mark = Math.min(allowance.mark, mark)
+		allowance.spendingLimit = Math.min(allowance.spendingLimit, mark)
 	}
 
 	/** The store knows this ceiling now: a new process of the box may rely on it. */
-	confirmMark(account: AccountName, mark: number): void {
-		this.allowance(account).mark = mark
+	confirmSpendingLimit(account: AccountName, mark: number): void {
+		this.allowance(account).spendingLimit = mark
 	}
 
 	/**
 	 * Whether the ceilings hold. They end some time after the store was last told of them; a new process
 	 * of the box then no longer relies on them.
 	 */
-	setPromiseOver(over: boolean): void {
-		this.promiseOver = over
+	setSpendingLimitsExpired(over: boolean): void {
+		this.spendingLimitsExpired = over
 	}
 
 	/** Stops reservations for good: the box is about to give back what it holds. */
@@ -204,33 +204,35 @@
 		return {
 			account,
 			drawn: allowance.drawn,
-			floor: allowance.spentBefore + allowance.used,
+			committed: allowance.spentByPredecessors + allowance.used,
 			free: this.freeOf(allowance),
-			held: allowance.drawn - allowance.spentBefore - allowance.used,
-			mark: allowance.mark,
+			unspent: allowance.drawn - allowance.spentByPredecessors - allowance.used,
+			spendingLimit: allowance.spendingLimit,
 			tokensPerSecond: allowance.demand.perSecond(now),
-			frozen: allowance.frozenUntil > 0,
+			frozen: allowance.frozenUntilVersion > 0,
 		}
 	}
 
-	private freeOf(allowance: AccountAllowance): number {
-		const ceiling = this.promiseOver ? allowance.drawn : Math.min(allowance.drawn, allowance.mark)
-		return ceiling - allowance.spentBefore - allowance.used
+	private freeOf(getOrCreate: AccountAllowance): number {
+		const ceiling = this.spendingLimitsExpired
+			? getOrCreate.drawn
+			: Math.min(getOrCreate.drawn, getOrCreate.spendingLimit)
+		return ceiling - getOrCreate.spentByPredecessors - getOrCreate.used
 	}
 
 	private allowance(account: AccountName): AccountAllowance {
 		const known = this.accounts.get(account)
 		if (known) return known
-		const spentBefore = this.before?.[account] ?? 0
+		const spentBefore = this.spentByPredecessors?.[account] ?? 0
 		const fresh: AccountAllowance = {
 			drawn: spentBefore,
-			spentBefore,
-			mark: spentBefore,
+			spentByPredecessors: spentBefore,
+			spendingLimit: spentBefore,
 			used: 0,
-			frozenUntil: 0,
-			loweredAt: 0,
-			losesRefunds: false,
-			isOver: false,
+			frozenUntilVersion: 0,
+			loweredAtVersion: 0,
+			discardsRefunds: false,
+			isOverBudget: false,
 			demand: new DemandMeter(),
 		}
 		this.accounts.set(account, fresh)
--- a/packages/core/src/lib/allowance/AllowanceRow.test.ts
+++ b/packages/core/src/lib/allowance/AllowanceRow.test.ts
@@ -1,11 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { brandId, type AccountName, type BoxName, type Incarnation } from '../ids.js'
-import {
-	drawnAtMostByOthers,
-	isDrawKnown,
-	type AllowanceRow,
-	type BoxDraws,
-} from './AllowanceRow.js'
+import { maxDrawnByOthers, isDrawKnown, type AllowanceRow, type BoxDraws } from './AllowanceRow.js'
 import { mergeLostDraws } from './mergeLostDraws.js'
 
 const ACCOUNT = brandId<AccountName>('acme')
@@ -31,7 +26,7 @@
 }
 
 function takenByOthers(row: AllowanceRow): number {
-	return drawnAtMostByOthers(row, ACCOUNT, box(1), 100, 2)
+	return maxDrawnByOthers(row, ACCOUNT, box(1), 100, 2)
 }
 
 describe('the record of draws in a new era of the store', () => {
--- a/packages/core/src/lib/allowance/AllowanceRow.ts
+++ b/packages/core/src/lib/allowance/AllowanceRow.ts
@@ -47,17 +47,17 @@
 }
 
 /** True where no box is known to have claimed. */
-export function isEmptyRow(row: AllowanceRow): boolean {
+export function hasNoBoxes(row: AllowanceRow): boolean {
 	return Object.keys(row.boxes).length === 0
 }
 
 /** True where a box wrote its draws in this era: what it says is all that the box has drawn. @public */
-export function isOfEra(draws: BoxDraws, era: number): boolean {
+export function isWrittenInEra(draws: BoxDraws, era: number): boolean {
 	return draws.era === undefined || draws.era === era
 }
 
 /** Boxes that know of a draw before its own box uses it, or all others where there are fewer. */
-export const DRAW_WITNESSES = 2
+export const MIN_DRAW_REPLICAS = 2
 
 /**
  * True where the record tells all that a box has drawn. A box that has not written in this era may have drawn more than
@@ -67,21 +67,23 @@
  */
 export function isDrawKnown(row: AllowanceRow, box: BoxName, era: number): boolean {
 	const draws = row.boxes[box]
-	if (draws && isOfEra(draws, era)) return true
+	if (draws && isWrittenInEra(draws, era)) return true
 	const others = Object.entries<BoxDraws>(row.boxes).filter(([name]) => name !== box)
-	const silent = others.filter(([, other]) => !isOfEra(other, era) || other.claimedIn === era)
-	return silent.length < Math.min(DRAW_WITNESSES, others.length)
+	const silent = others.filter(
+		([, other]) => !isWrittenInEra(other, era) || other.claimedIn === era,
+	)
+	return silent.length < Math.min(MIN_DRAW_REPLICAS, others.length)
 }
 
 /** Tokens of an account that all boxes other than `except` have drawn at most: all of it where that isn't known. */
-export function drawnAtMostByOthers(
+export function maxDrawnByOthers(
 	row: AllowanceRow,
 	account: AccountName,
 	except: BoxName,
 	budget: number,
 	era: number,
 ): number {
-	const isKnown = unheardBoxes(row, era).every(
+	const isKnown = boxesWithStaleDraws(row, era).every(
 		(box) => box === except || isDrawKnown(row, box, era),
 	)
 	const drawn = drawnByOthers(row, account, except)
@@ -89,8 +91,10 @@
 }
 
 /** Boxes that have not written their draws since the store came back from a copy. @public */
-export function unheardBoxes(row: AllowanceRow, era: number): readonly BoxName[] {
-	const rows = Object.entries<BoxDraws>(row.boxes).filter(([, draws]) => !isOfEra(draws, era))
+export function boxesWithStaleDraws(row: AllowanceRow, era: number): readonly BoxName[] {
+	const rows = Object.entries<BoxDraws>(row.boxes).filter(
+		([, draws]) => !isWrittenInEra(draws, era),
+	)
 	return rows.map(([box]) => box as BoxName)
 }
 
@@ -120,7 +124,11 @@
 }
 
 /** Other boxes that have drawn of an account, by what they seemed to hold when they last wrote. @public */
-export function richestBoxes(row: AllowanceRow, account: AccountName, except: BoxName): BoxDraws[] {
+export function boxesByUnspent(
+	row: AllowanceRow,
+	account: AccountName,
+	except: BoxName,
+): BoxDraws[] {
 	const held = (draws: BoxDraws) => (draws.drawn[account] ?? 0) - (draws.spent[account] ?? 0)
 	return Object.entries<BoxDraws>(row.boxes)
 		.filter(([box]) => box !== except)
@@ -129,10 +137,10 @@
 }
 
 /** What a box knows of its own part of an account, beside the shared record. */
-export interface OwnPart {
+export interface AccountHolding {
 	readonly account: AccountName
 	/** Drawn and not spent. */
-	readonly held: number
+	readonly unspent: number
 	readonly tokensPerSecond: number
 }
 
@@ -141,13 +149,13 @@
  * box with much of the demand as for one with little.
  * @public
  */
-export function secondsToEnd(
+export function secondsToExhaustion(
 	row: AllowanceRow,
 	box: BoxName,
-	own: OwnPart,
+	own: AccountHolding,
 	undrawn: number,
 ): number {
-	let left = undrawn + own.held
+	let left = undrawn + own.unspent
 	let rate = own.tokensPerSecond
 	for (const [name, draws] of Object.entries<BoxDraws>(row.boxes)) {
 		if (name === box) continue
--- a/packages/core/src/lib/allowance/SpentWords.ts
+++ b/packages/core/src/lib/allowance/RemainingTokensCache.ts
@@ -2,12 +2,12 @@
 import type { Millis } from '../units.js'
 
 /** What may be left of an account, as another box told. */
-interface SpentWord {
+interface RemainingReport {
 	/** Tokens that may be left at most, wherever they lie. */
 	readonly left: number
 	/** Store revision of the configuration under which that was told. */
 	readonly budgetsVersion: number
-	readonly at: Millis
+	readonly reportedAt: Millis
 }
 
 /**
@@ -16,16 +16,16 @@
  * six boxes in vain and burdens them: it was refused after 59 ms (p90 216 ms), and is after 1 ms (p90 13 ms) with
  * them, by the log lines of a fleet of 75 boxes whose budgets ran out.
  */
-const WORD_MS: Millis = 1_500
+const REPORT_TTL_MS: Millis = 1_500
 
 /** What other boxes lately told of accounts that are nearly spent. @public */
-export class SpentWords {
-	private readonly words = new Map<AccountName, SpentWord>()
+export class RemainingTokensCache {
+	private readonly reports = new Map<AccountName, RemainingReport>()
 
 	/** Notes that no more than `left` is left of an account. */
-	note(account: AccountName, left: number, budgetsVersion: number, now: Millis): void {
+	record(account: AccountName, left: number, budgetsVersion: number, now: Millis): void {
 		if (!Number.isFinite(left)) return
-		this.words.set(account, { left, budgetsVersion, at: now })
+		this.reports.set(account, { left, budgetsVersion, reportedAt: now })
 	}
 
 	/**
@@ -33,8 +33,9 @@
 	 * configuration says nothing: that may have raised the budget.
 	 */
 	isSpent(account: AccountName, tokens: number, budgetsVersion: number, now: Millis): boolean {
-		const word = this.words.get(account)
-		if (!word || word.budgetsVersion < budgetsVersion || now - word.at >= WORD_MS) return false
+		const word = this.reports.get(account)
+		if (!word || word.budgetsVersion < budgetsVersion || now - word.reportedAt >= REPORT_TTL_MS)
+			return false
 		return tokens > word.left
 	}
 }
--- a/packages/core/src/lib/allowance/chooseLenders.ts
+++ b/packages/core/src/lib/allowance/chooseLenders.ts
@@ -17,7 +17,7 @@
  */
 const LENDERS_PER_ZONE = 2
 /** Boxes of a zone up to which all draw: nobody then depends on another box for tokens. */
-const MOST_WITHOUT_CHOICE = 3
+const MAX_BOXES_ALL_LENDERS = 3
 
 /**
  * The boxes of a zone that draw from the store: the same at every box that knows the same members. The largest
@@ -27,8 +27,8 @@
  */
 export function lendersOfZone(members: readonly FleetMember[], zone: ZoneName): FleetMember[] {
 	const ofZone = members.filter((member) => member.zone === zone)
-	const isSmall = ofZone.length <= MOST_WITHOUT_CHOICE
-	const largestFirst = ranked(zone, ofZone).sort((a, b) => b.cores - a.cores)
+	const isSmall = ofZone.length <= MAX_BOXES_ALL_LENDERS
+	const largestFirst = rankByKey(zone, ofZone).sort((a, b) => b.cores - a.cores)
 	return largestFirst.slice(0, isSmall ? ofZone.length : LENDERS_PER_ZONE)
 }
 
@@ -48,9 +48,9 @@
 	members: readonly FleetMember[],
 	zone: ZoneName,
 ): FleetMember[] {
-	const near = ranked(account, lendersOfZone(members, zone))
-	const first = ranked(account, firstOfOtherZones(account, members, zone))
-	const others = ranked(account, allLenders(members)).filter(
+	const near = rankByKey(account, lendersOfZone(members, zone))
+	const first = rankByKey(account, firstLenderOfOtherZones(account, members, zone))
+	const others = rankByKey(account, allLenders(members)).filter(
 		(member) => member.zone !== zone && !first.includes(member),
 	)
 	return [...near, ...first, ...others]
@@ -62,9 +62,9 @@
  * @public
  */
 export function watchersFor(members: readonly FleetMember[], self: FleetMember): FleetMember[] {
-	const near = ranked(self.box, lendersOfZone(members, self.zone))
+	const near = rankByKey(self.box, lendersOfZone(members, self.zone))
 	const zones = otherZones(members, self.zone)
-	const distant = zones.map((zone) => ranked(self.box, lendersOfZone(members, zone)))
+	const distant = zones.map((zone) => rankByKey(self.box, lendersOfZone(members, zone)))
 	return [
 		...near,
 		...distant.flatMap((watchers) => watchers.slice(0, 1)),
@@ -73,13 +73,13 @@
 }
 
 /** The lender that comes first for a key in each zone but one. */
-function firstOfOtherZones(
+function firstLenderOfOtherZones(
 	key: string,
 	members: readonly FleetMember[],
 	zone: ZoneName,
 ): FleetMember[] {
 	return otherZones(members, zone).flatMap((other) =>
-		ranked(key, lendersOfZone(members, other)).slice(0, 1),
+		rankByKey(key, lendersOfZone(members, other)).slice(0, 1),
 	)
 }
 
@@ -89,7 +89,7 @@
 	return [...zones]
 }
 
-function ranked(key: string, members: readonly FleetMember[]): FleetMember[] {
+function rankByKey(key: string, members: readonly FleetMember[]): FleetMember[] {
 	const byBox = new Map(members.map((member) => [member.box, member]))
 	return rendezvous(key, [...byBox.keys()]).flatMap((box) => byBox.get(box) ?? [])
 }
--- a/packages/core/src/lib/allowance/mergeLostDraws.ts
+++ b/packages/core/src/lib/allowance/mergeLostDraws.ts
@@ -1,5 +1,5 @@
 import type { AccountName, BoxName } from '../ids.js'
-import { isOfEra, type AllowanceRow, type BoxDraws } from './AllowanceRow.js'
+import { isWrittenInEra, type AllowanceRow, type BoxDraws } from './AllowanceRow.js'
 
 /**
  * The record of a store that came back from a copy, with what this box remembers of the one before: the draws of boxes
@@ -11,14 +11,14 @@
 	for (const [name, before] of Object.entries<BoxDraws>(lost.boxes)) {
 		const box = name as BoxName
 		const copied = boxes[box]
-		if (copied && isOfEra(copied, era)) continue
-		boxes[box] = { ...before, ...copied, drawn: largestOf(before.drawn, copied?.drawn) }
+		if (copied && isWrittenInEra(copied, era)) continue
+		boxes[box] = { ...before, ...copied, drawn: maxByAccount(before.drawn, copied?.drawn) }
 	}
 	return { ...row, era: row.era ?? lost.era, boxes }
 }
 
 /** The larger of two amounts of each account. @public */
-export function largestOf(
+export function maxByAccount(
 	before: Readonly<Record<AccountName, number>>,
 	copied: Readonly<Record<AccountName, number>> = {},
 ): Readonly<Record<AccountName, number>> {
--- a/packages/core/src/lib/controllers/KeeperController.ts
+++ b/packages/core/src/lib/controllers/KeeperController.ts
@@ -1,7 +1,7 @@
 import type { BoxName, BudgetName, Incarnation } from '../ids.js'
-import { RateBudget } from '../money/RateBudget.js'
-import type { KeeperAsk } from '../money/LedgerSteps.js'
-import { ShardKeeper, pollPeriodFor } from '../money/ShardKeeper.js'
+import { RateLimiter } from '../money/RateLimiter.js'
+import type { GrantRequest } from '../money/LedgerUpdates.js'
+import { BudgetShardWriter, shardPollPeriodMs } from '../money/BudgetShardWriter.js'
 import { findMember, type Member } from '../membership/ZoneView.js'
 import type { CoreContext } from '../router/CoreContext.js'
 import type { GrantRow, PeerMessage } from '../router/PeerMessage.js'
@@ -25,12 +25,12 @@
 
 /**
  * The keeper's money work: gathers the asks of the boxes of its zone and hands them to one
- * {@link ShardKeeper} per shard, which writes ledger and shard by compare-and-swap.
+ * {@link BudgetShardWriter} per shard, which writes ledger and shard by compare-and-swap.
  */
 export class KeeperController {
-	private readonly shards = new Map<number, ShardKeeper>()
+	private readonly shards = new Map<number, BudgetShardWriter>()
 	private readonly closings: Closing[] = []
-	private readonly writes = new RateBudget(1, WRITE_BURST)
+	private readonly writes = new RateLimiter(1, WRITE_BURST)
 	private readonly confessed = new Set<Incarnation>()
 	private readonly recalledAt = new Map<BudgetName, Millis>()
 
@@ -56,7 +56,7 @@
 	onAsk(from: BoxName, message: Extract<PeerMessage, { kind: 'ask' }>): void {
 		for (const row of message.rows) {
 			const ask = { box: from, incarnation: message.incarnation, ...row }
-			this.shardOf(row.budget)?.ask(ask)
+			this.shardOf(row.budget)?.addRequest(ask)
 		}
 	}
 
@@ -66,7 +66,7 @@
 			const shard = this.shardOf(budget)
 			if (!shard) continue
 			closing.shards.add(shard.number)
-			shard.testify({ ...message, budget, testimony })
+			shard.addReplicaReport({ ...message, budget, report: testimony })
 		}
 	}
 
@@ -77,35 +77,35 @@
 		this.confessed.add(incarnation)
 		if (isNew) {
 			for (const { budget, counters } of message.rows)
-				this.shardOf(budget)?.confess({ box, incarnation, budget, counters })
+				this.shardOf(budget)?.addFinalCounters({ box, incarnation, budget, counters })
 			return
 		}
-		const open = [...this.shards.values()].some((s) => s.hasConfession(box, incarnation))
+		const open = [...this.shards.values()].some((s) => s.hasPendingFinalCounters(box, incarnation))
 		const to = this.memberOf(from)
 		if (!open && to) this.context.send(to, { kind: 'confess-ack', incarnation })
 	}
 
-	private shardOf(budget: BudgetName): ShardKeeper | undefined {
+	private shardOf(budget: BudgetName): BudgetShardWriter | undefined {
 		const index = this.context.board.config.index
 		if (!this.context.board.roles.keeper || !index?.budget(budget)) return undefined
 		return this.shard(index.shardOf(budget))
 	}
 
-	private shard(number: number): ShardKeeper {
+	private shard(number: number): BudgetShardWriter {
 		let found = this.shards.get(number)
 		if (!found) {
-			found = new ShardKeeper(this.context, number, {
-				onGrants: (asks, rows) => this.sendGrants(asks, rows),
+			found = new BudgetShardWriter(this.context, number, {
+				onGrant: (asks, rows) => this.sendGrants(asks, rows),
 				onRecall: (budget, amount) => this.recall(budget, amount),
-				mayWrite: (urgent) => this.writes.take(this.context.now, urgent),
-				pollPeriod: () => this.pollPeriod(),
+				tryAcquireWrite: (urgent) => this.writes.tryAcquire(this.context.now, urgent),
+				pollPeriodMs: () => this.pollPeriod(),
 			})
 			this.shards.set(number, found)
 		}
 		return found
 	}
 
-	private sendGrants(ask: KeeperAsk, row: GrantRow): void {
+	private sendGrants(ask: GrantRequest, row: GrantRow): void {
 		const member = this.memberOf(ask.box)
 		if (!member || member.incarnation !== ask.incarnation) return
 		const { incarnation } = ask
@@ -116,7 +116,7 @@
 		const index = this.context.board.config.index
 		if (!index) return SECOND_MS
 		const { platformReads, shardCount } = index.bundle.policy
-		return pollPeriodFor(index.zones.length, shardCount, platformReads * POLL_SHARE)
+		return shardPollPeriodMs(index.zones.length, shardCount, platformReads * POLL_SHARE)
 	}
 
 	private recall(budget: BudgetName, amount: Amount): void {
@@ -141,7 +141,9 @@
 		for (let i = this.closings.length - 1; i >= 0; i--) {
 			const closing = this.closings[i]
 			if (!closing) continue
-			const open = [...closing.shards].some((shard) => this.shards.get(shard)?.hasTestimony())
+			const open = [...closing.shards].some((shard) =>
+				this.shards.get(shard)?.hasPendingReplicaReports(),
+			)
 			if (open) continue
 			this.closings.splice(i, 1)
 			const { box, incarnation, replyTo } = closing
--- a/packages/core/src/lib/controllers/MoneyController.ts
+++ b/packages/core/src/lib/controllers/MoneyController.ts
@@ -3,9 +3,9 @@
 import type { LogSender, Ticket } from '../identity/LogSender.js'
 import type { MoneyRow } from '../identity/WitnessCopy.js'
 import { DEFAULT_POLICY, type PolicyRecord } from '../bundle/Bundle.js'
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import type { SliceCounters } from '../money/SliceLedger.js'
-import { TransferRounds } from '../money/TransferRounds.js'
+import { TransferRequester } from '../money/TransferRequester.js'
 import { findMember, type Member } from '../membership/ZoneView.js'
 import type { MoneySection } from '../router/Blackboard.js'
 import type { CoreContext } from '../router/CoreContext.js'
@@ -53,7 +53,7 @@
 /** This box's slices: reserving and billing, asking the keeper, moving money to neighbours. */
 export class MoneyController {
 	private readonly shortages = new Map<BudgetName, Shortage>()
-	private readonly rounds: TransferRounds
+	private readonly rounds: TransferRequester
 	private readonly exhaustedUntil = new Map<BudgetName, Millis>()
 	/** Bills that the witness knows of: only these may go into the zone ledger. */
 	private readonly safeBilled = new Map<BudgetName, Amount>()
@@ -76,7 +76,7 @@
 		private readonly section: MoneySection,
 		private readonly protections: MoneyProtections,
 	) {
-		this.rounds = new TransferRounds(context)
+		this.rounds = new TransferRequester(context)
 	}
 
 	/** Takes the worst case of a request out of the slice. False where it is too small. */
@@ -139,7 +139,7 @@
 
 	/** A new view has another witness, which knows no watermark yet. */
 	onView(): void {
-		this.section.ledger.forgetWatermarks()
+		this.section.ledger.resetWatermarks()
 		for (const budget of this.section.ledger.budgets()) this.dirty.add(budget)
 	}
 
@@ -244,7 +244,10 @@
 
 	private giveBack(budget: BudgetName, keep: Amount): void {
 		if (this.shortages.has(budget)) return
-		const given = this.section.ledger.giveBack(budget, this.section.ledger.available(budget) - keep)
+		const given = this.section.ledger.returnIdle(
+			budget,
+			this.section.ledger.available(budget) - keep,
+		)
 		if (given === 0) return
 		this.log.touch(budget)
 		this.dirty.add(budget)
@@ -352,7 +355,7 @@
 			if (this.section.ledger.available(budget) >= short.amount) continue
 			if (this.isExhausted(budget) || this.keeperMayHelp(budget, short)) continue
 			const amount = short.amount - this.section.ledger.available(budget)
-			if (!this.rounds.step(budget, amount, this.neighbours())) this.callExhausted(budget)
+			if (!this.rounds.askNext(budget, amount, this.neighbours())) this.callExhausted(budget)
 		}
 	}
 
--- a/packages/core/src/lib/controllers/TargetController.ts
+++ b/packages/core/src/lib/controllers/TargetController.ts
@@ -80,15 +80,15 @@
 		if (!state) return
 		state.inFlight++
 		state.startedSinceReport++
-		if (state.ejectedUntil > 0) state.probing = true
+		if (state.ejectedUntil > 0) state.isProbing = true
 	}
 
 	ended(name: TargetName, failed: boolean): void {
 		const state = this.section.states.get(name)
 		if (!state) return
 		state.inFlight = Math.max(0, state.inFlight - 1)
-		state.failureShare += FAILURE_SMOOTHING * ((failed ? 1 : 0) - state.failureShare)
-		state.failures = failed ? state.failures + 1 : 0
+		state.failureRate += FAILURE_SMOOTHING * ((failed ? 1 : 0) - state.failureRate)
+		state.consecutiveFailures = failed ? state.consecutiveFailures + 1 : 0
 		if (failed) this.noteFailure(state)
 		else this.restore(state)
 	}
@@ -97,7 +97,7 @@
 		for (const report of reports) {
 			const state = this.section.states.get(report.target)
 			if (!state || report.at < state.reportedAt) continue
-			state.reported = report.running + report.waiting
+			state.reportedLoad = report.running + report.waiting
 			state.reportedAt = report.at
 			state.startedSinceReport = 0
 			if (report.leaving) this.selfLeaving.add(report.target)
@@ -113,7 +113,7 @@
 	}
 
 	private isOpen(state: TargetState, priority: Priority, headroom: number): boolean {
-		if (state.leaving || state.ejectedUntil > this.context.now || state.probing) return false
+		if (state.leaving || state.ejectedUntil > this.context.now || state.isProbing) return false
 		const limit = this.share(state.record.concurrency)
 		const usable = priority === 'urgent' ? limit : Math.max(1, Math.floor(limit * (1 - headroom)))
 		return state.inFlight < usable
@@ -126,18 +126,21 @@
 	}
 
 	private noteFailure(state: TargetState): void {
-		const again = state.probing
-		state.probing = false
-		if (state.failures < EJECT_AFTER && !again) return
+		const again = state.isProbing
+		state.isProbing = false
+		if (state.consecutiveFailures < EJECT_AFTER && !again) return
 		state.ejectedUntil = this.context.now + EJECT_MS
-		this.context.log('target-ejected', { target: state.record.name, failures: state.failures })
+		this.context.log('target-ejected', {
+			target: state.record.name,
+			failures: state.consecutiveFailures,
+		})
 	}
 
 	private restore(state: TargetState): void {
 		if (state.ejectedUntil === 0) return
 		state.ejectedUntil = 0
-		state.probing = false
-		state.since = this.context.now
+		state.isProbing = false
+		state.sendingSince = this.context.now
 		this.context.log('target-restored', { target: state.record.name })
 	}
 
--- a/packages/core/src/lib/identity/WitnessCopy.ts
+++ b/packages/core/src/lib/identity/WitnessCopy.ts
@@ -1,5 +1,5 @@
 import type { BoxName, BudgetName, Incarnation, RequestId } from '../ids.js'
-import type { Testimony } from '../money/ZoneLedger.js'
+import type { ReplicaReport } from '../money/ZoneLedger.js'
 import type { Amount, Millis } from '../units.js'
 import { laterRecord, type BillRow, type IdentityRecord, type LossMark } from './IdentityRecord.js'
 
@@ -65,8 +65,8 @@
 	}
 
 	/** What this witness can say of the money of the box once it is sealed. */
-	testimony(): Map<BudgetName, Testimony> {
-		const rows = new Map<BudgetName, Testimony>()
+	testimony(): Map<BudgetName, ReplicaReport> {
+		const rows = new Map<BudgetName, ReplicaReport>()
 		for (const [budget, row] of this.money) {
 			rows.set(budget, row)
 		}
--- a/packages/core/src/lib/mostInWindow.ts
+++ b/packages/core/src/lib/maxCountInWindow.ts
@@ -1,7 +1,7 @@
 import type { Millis } from './units.js'
 
 /** The most of these times, which rise, that lie within one window, both ends included. For tests and models. @public */
-export function mostInWindow(times: readonly Millis[], windowMs: Millis): number {
+export function maxCountInWindow(times: readonly Millis[], windowMs: Millis): number {
 	let most = 0
 	let first = 0
 	for (const [last, time] of times.entries()) {
--- a/packages/core/src/lib/money/BudgetShard.ts
+++ b/packages/core/src/lib/money/BudgetShard.ts
@@ -1,6 +1,6 @@
 import { fnv1a } from '../fnv1a.js'
 import type { BudgetName, ZoneName } from '../ids.js'
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import type { Amount } from '../units.js'
 
 /** What one zone holds of a budget. Each counter is written by the zone's keeper only. @public */
@@ -38,7 +38,7 @@
 }
 
 /** The zone's row of a budget, made where absent. @public */
-export function zoneAllotment(budget: ShardBudget, zone: ZoneName): ZoneAllotment {
+export function getOrCreateZoneAllotment(budget: ShardBudget, zone: ZoneName): ZoneAllotment {
 	const found = budget.zones[zone]
 	if (found) return found
 	const made: ZoneAllotment = { allotted: 0, returned: 0, billed: 0, wanted: 0, inDoubt: 0 }
@@ -72,7 +72,7 @@
 	return sum
 }
 
-function checkShard(budget: ShardBudget): void {
+function assertNotOverallotted(budget: ShardBudget): void {
 	const outstanding = outstandingInShard(budget)
 	assertInvariant(outstanding <= budget.prepaid, 'budget-not-overallotted', {
 		prepaid: budget.prepaid,
@@ -83,22 +83,22 @@
 /** Allots up to `want` to a zone. Returns what was allotted now. @public */
 export function allotToZone(budget: ShardBudget, zone: ZoneName, want: Amount): Amount {
 	const given = Math.max(0, Math.min(want, freeInShard(budget)))
-	zoneAllotment(budget, zone).allotted += given
-	checkShard(budget)
+	getOrCreateZoneAllotment(budget, zone).allotted += given
+	assertNotOverallotted(budget)
 	return given
 }
 
 /** Takes a zone's cumulative return and bill. Older ones change nothing. @public */
-export function noteZoneCounters(
+export function raiseZoneCounters(
 	budget: ShardBudget,
 	zone: ZoneName,
 	counters: { readonly returned: Amount; readonly billed: Amount; readonly inDoubt: Amount },
 ): void {
-	const row = zoneAllotment(budget, zone)
+	const row = getOrCreateZoneAllotment(budget, zone)
 	row.returned = Math.max(row.returned, counters.returned)
 	row.billed = Math.max(row.billed, counters.billed)
 	row.inDoubt = counters.inDoubt
-	checkShard(budget)
+	assertNotOverallotted(budget)
 }
 
 /**
@@ -121,6 +121,6 @@
 	if (bundleVersion < found.bundleVersion) return found.prepaid
 	found.prepaid = Math.max(prepaid, outstandingInShard(found))
 	found.bundleVersion = bundleVersion
-	checkShard(found)
+	assertNotOverallotted(found)
 	return found.prepaid
 }
--- a/packages/core/src/lib/money/ShardKeeper.ts
+++ b/packages/core/src/lib/money/BudgetShardWriter.ts
@@ -13,34 +13,34 @@
 } from './BudgetShard.js'
 import { LedgerDraft } from './LedgerDraft.js'
 import {
-	LedgerSteps,
-	type KeeperAsk,
-	type KeeperConfession,
-	type KeeperTestimony,
-} from './LedgerSteps.js'
+	LedgerUpdates,
+	type GrantRequest,
+	type FinalCounters,
+	type BudgetReplicaReport,
+} from './LedgerUpdates.js'
 import { ShardDraft } from './ShardDraft.js'
 import { EMPTY_COUNTERS } from './SliceLedger.js'
 import {
 	emptyZoneLedger,
 	entryKey,
 	freeInZone,
-	giveUpToShard,
-	splitEntryKey,
+	returnToShard,
+	parseEntryKey,
 	type LedgerBudget,
 	type ZoneLedgerValue,
 } from './ZoneLedger.js'
 
 /** What a shard keeper needs of its controller. */
-export interface ShardKeeperHooks {
-	onGrants(ask: KeeperAsk, row: GrantRow): void
+export interface BudgetShardWriterHooks {
+	onGrant(ask: GrantRequest, row: GrantRow): void
 	onRecall(budget: BudgetName, amount: Amount): void
 	/** Counts a platform write against the zone's rate; false where it has to wait. */
-	mayWrite(urgent: boolean): boolean
+	tryAcquireWrite(urgent: boolean): boolean
 	/** Time between two reads of a shard that this zone uses, in ms. */
-	pollPeriod(): Millis
+	pollPeriodMs(): Millis
 }
 
-interface Loaded<T> {
+interface Versioned<T> {
 	value: T
 	revision: number
 }
@@ -52,98 +52,102 @@
 	since: Millis
 }
 
-const SHARD_REPORT_MS: Millis = 5_000
+const SHARD_REPORT_PERIOD_MS: Millis = 5_000
 /** Least time between two writes that no request waits for. */
-const ROUTINE_PERIOD_MS: Millis = SECOND_MS
+const MIN_ROUTINE_WRITE_PERIOD_MS: Millis = SECOND_MS
 /** Polls of the shard that a recall from other zones may take. */
-const RECALL_POLLS = 2
+const RECALL_WAIT_POLLS = 2
 
 /**
  * One shard of budgets in one zone: group commits of the zone ledger, allotments from the budget
  * shard, recall of idle money. Every write is a compare-and-swap of cumulative counters; what was
  * not confirmed is read again.
  */
-export class ShardKeeper {
-	private readonly steps: LedgerSteps
-	private ledger: Loaded<ZoneLedgerValue> | undefined
-	private shard: Loaded<BudgetShardValue> | undefined
-	private busy = false
-	private shardTurn = false
+export class BudgetShardWriter {
+	private readonly updates: LedgerUpdates
+	private ledger: Versioned<ZoneLedgerValue> | undefined
+	private shard: Versioned<BudgetShardValue> | undefined
+	private isCalling = false
+	private isShardNext = false
 	private committedAt: Millis = -Infinity
 	private reportedAt: Millis = -Infinity
 	private polledAt: Millis = -Infinity
-	private wroteAt: Millis = -Infinity
-	private bundleSeen = 0
-	private readonly asks = new Map<string, KeeperAsk>()
-	private readonly testimonies = new Map<string, KeeperTestimony>()
-	private readonly confessions = new Map<string, KeeperConfession>()
+	private writtenAt: Millis = -Infinity
+	private appliedBundleVersion = 0
+	private readonly requests = new Map<string, GrantRequest>()
+	private readonly replicaReports = new Map<string, BudgetReplicaReport>()
+	private readonly finalCounters = new Map<string, FinalCounters>()
 	private readonly shortfalls = new Map<BudgetName, Shortfall>()
 	/** Budgets of which another zone lacks money. */
-	private lacking: BudgetName[] = []
-	private reportDue = false
-	private viewSeen = 0
+	private budgetsShortElsewhere: BudgetName[] = []
+	private hasUnreportedCounters = false
+	private appliedView = 0
 
 	constructor(
 		private readonly context: CoreContext,
 		readonly number: number,
-		private readonly hooks: ShardKeeperHooks,
+		private readonly hooks: BudgetShardWriterHooks,
 	) {
-		this.steps = new LedgerSteps(context)
+		this.updates = new LedgerUpdates(context)
 	}
 
-	ask(ask: KeeperAsk): void {
-		this.asks.set(`${entryKey(ask.box, ask.incarnation)}/${ask.budget}`, ask)
+	addRequest(ask: GrantRequest): void {
+		this.requests.set(`${entryKey(ask.box, ask.incarnation)}/${ask.budget}`, ask)
 	}
 
-	testify(row: KeeperTestimony): void {
-		this.testimonies.set(`${entryKey(row.box, row.incarnation)}/${row.budget}`, row)
+	addReplicaReport(row: BudgetReplicaReport): void {
+		this.replicaReports.set(`${entryKey(row.box, row.incarnation)}/${row.budget}`, row)
 	}
 
-	confess(row: KeeperConfession): void {
-		this.confessions.set(`${entryKey(row.box, row.incarnation)}/${row.budget}`, row)
+	addFinalCounters(row: FinalCounters): void {
+		this.finalCounters.set(`${entryKey(row.box, row.incarnation)}/${row.budget}`, row)
 	}
 
-	hasTestimony(): boolean {
-		return this.testimonies.size > 0
+	hasPendingReplicaReports(): boolean {
+		return this.replicaReports.size > 0
 	}
 
 	/** True while a confession of this incarnation waits. */
-	hasConfession(box: BoxName, incarnation: Incarnation): boolean {
+	hasPendingFinalCounters(box: BoxName, incarnation: Incarnation): boolean {
 		const prefix = `${entryKey(box, incarnation)}/`
-		return [...this.confessions.keys()].some((key) => key.startsWith(prefix))
+		return [...this.finalCounters.keys()].some((key) => key.startsWith(prefix))
 	}
 
 	tick(): void {
-		if (this.busy || this.context.now - this.committedAt < this.context.self.timing.commit) return
-		if (!this.hasWork() || this.mayRest()) return
+		if (this.isCalling || this.context.now - this.committedAt < this.context.self.timing.commit)
+			return
+		if (!this.hasWork() || this.canDefer()) return
 		this.committedAt = this.context.now
 		this.step()
 	}
 
 	private hasWork(): boolean {
-		if (this.asks.size + this.testimonies.size + this.confessions.size > 0) return true
-		if (this.shortfalls.size + this.lacking.length > 0) return true
-		if (!this.ledger || !this.shard) return this.context.now - this.polledAt >= SHARD_REPORT_MS
-		if (this.pollIsDue() || this.bundleIsNew()) return true
-		if (this.context.board.members.view.number !== this.viewSeen) return true
-		return this.reportDue && this.context.now - this.reportedAt >= SHARD_REPORT_MS
+		if (this.requests.size + this.replicaReports.size + this.finalCounters.size > 0) return true
+		if (this.shortfalls.size + this.budgetsShortElsewhere.length > 0) return true
+		if (!this.ledger || !this.shard)
+			return this.context.now - this.polledAt >= SHARD_REPORT_PERIOD_MS
+		if (this.isPollDue() || this.isBundleNew()) return true
+		if (this.context.board.members.view.number !== this.appliedView) return true
+		return (
+			this.hasUnreportedCounters && this.context.now - this.reportedAt >= SHARD_REPORT_PERIOD_MS
+		)
 	}
 
 	/** Book-keeping waits for its period, so that many asks share one write. */
-	private mayRest(): boolean {
-		const loading = !this.ledger || !this.shard || this.pollIsDue()
-		const rested = this.context.now - this.wroteAt >= ROUTINE_PERIOD_MS
+	private canDefer(): boolean {
+		const loading = !this.ledger || !this.shard || this.isPollDue()
+		const rested = this.context.now - this.writtenAt >= MIN_ROUTINE_WRITE_PERIOD_MS
 		return !rested && !loading && !this.isUrgent()
 	}
 
 	/** A shard that the zone uses is read from time to time: another zone may lack money. */
-	private pollIsDue(): boolean {
+	private isPollDue(): boolean {
 		const used = Object.keys(this.ledger?.value.budgets ?? {}).length > 0
-		return used && this.context.now - this.polledAt >= this.hooks.pollPeriod()
+		return used && this.context.now - this.polledAt >= this.hooks.pollPeriodMs()
 	}
 
-	private bundleIsNew(): boolean {
-		return (this.context.board.config.index?.bundle.version ?? 0) > this.bundleSeen
+	private isBundleNew(): boolean {
+		return (this.context.board.config.index?.bundle.version ?? 0) > this.appliedBundleVersion
 	}
 
 	/** True where a keeper with a newer view has written: this one must follow the view first. */
@@ -153,13 +157,13 @@
 
 	/** True where a request, a testimony or a stopping box waits for the next write. */
 	private isUrgent(): boolean {
-		if (this.testimonies.size + this.confessions.size > 0) return true
-		for (const ask of this.asks.values()) if (ask.need > 0 || this.isLeaving(ask)) return true
+		if (this.replicaReports.size + this.finalCounters.size > 0) return true
+		for (const ask of this.requests.values()) if (ask.need > 0 || this.isLeaving(ask)) return true
 		for (const short of this.shortfalls.values()) if (short.need > 0) return true
-		return this.lacking.length > 0
+		return this.budgetsShortElsewhere.length > 0
 	}
 
-	private isLeaving(ask: KeeperAsk): boolean {
+	private isLeaving(ask: GrantRequest): boolean {
 		const { members } = this.context.board.members.view
 		return members.some((member) => member.box === ask.box && member.leaving)
 	}
@@ -168,21 +172,21 @@
 	private step(): void {
 		if (!this.ledger) this.loadLedger()
 		else if (this.isOutdated()) this.ledger = undefined
-		else if (!this.shard || this.pollIsDue()) this.loadShard()
-		else if (this.bundleIsNew()) this.writePrepaid()
+		else if (!this.shard || this.isPollDue()) this.loadShard()
+		else if (this.isBundleNew()) this.writePrepaid()
 		else this.commit()
 	}
 
 	/** Ledger and shard take turns, so that a busy ledger does not hold allotments up. */
 	private commit(): void {
-		const shardFirst = this.shardTurn
-		this.shardTurn = false
+		const shardFirst = this.isShardNext
+		this.isShardNext = false
 		if (shardFirst && this.commitShard()) return
 		if (this.commitLedger()) {
-			this.shardTurn = true
+			this.isShardNext = true
 			return
 		}
-		if (shardFirst || !this.commitShard()) this.settleShortfalls()
+		if (shardFirst || !this.commitShard()) this.handleShortfalls()
 	}
 
 	private loadLedger(): void {
@@ -196,18 +200,18 @@
 		this.polledAt = this.context.now
 		this.read(shardKey(this.number), (value, revision) => {
 			if (this.shard?.revision === revision) return
-			this.holdShard((value as BudgetShardValue | undefined) ?? emptyShard(), revision)
+			this.setShard((value as BudgetShardValue | undefined) ?? emptyShard(), revision)
 		})
 	}
 
-	private holdShard(value: BudgetShardValue, revision: number): void {
+	private setShard(value: BudgetShardValue, revision: number): void {
 		this.shard = { value, revision }
 		const names = Object.keys(value.budgets) as BudgetName[]
-		this.lacking = names.filter((name) => this.lackElsewhere(name) > 0)
+		this.budgetsShortElsewhere = names.filter((name) => this.shortfallElsewhere(name) > 0)
 	}
 
 	/** Money that other zones lack and the shard does not have. */
-	private lackElsewhere(name: BudgetName): Amount {
+	private shortfallElsewhere(name: BudgetName): Amount {
 		const budget = this.shard?.value.budgets[name]
 		const own = budget?.zones[this.context.self.zone]
 		if (!budget || !own) return 0
@@ -216,32 +220,32 @@
 	}
 
 	private read(key: string, onValue: (value: unknown, revision: number) => void): void {
-		this.busy = true
+		this.isCalling = true
 		this.context.callPlatform({ kind: 'get', key }, (result) => {
-			this.busy = false
+			this.isCalling = false
 			if (result.kind === 'value') onValue(result.value, result.revision)
 			if (result.kind === 'absent') onValue(undefined, 0)
 			if (result.kind === 'value' || result.kind === 'absent') this.committedAt = -Infinity
 		})
 	}
 
-	private swap(
+	private compareAndSwap(
 		key: string,
 		expected: number,
 		value: unknown,
 		onWritten: (revision: number) => void,
 	): void {
-		this.busy = true
+		this.isCalling = true
 		this.context.callPlatform({ kind: 'cas', key, expected, value }, (result) => {
-			this.busy = false
-			this.wroteAt = this.context.now
+			this.isCalling = false
+			this.writtenAt = this.context.now
 			if (result.kind === 'written') onWritten(result.revision)
-			else this.forget(result, key)
+			else this.invalidate(result, key)
 		})
 	}
 
 	/** After a conflict or a lost answer the value is read again. */
-	private forget(result: PlatformResult, key: string): void {
+	private invalidate(result: PlatformResult, key: string): void {
 		if (result.kind === 'refused') return
 		if (key === shardKey(this.number)) this.shard = undefined
 		else this.ledger = undefined
@@ -258,18 +262,18 @@
 			setPrepaid(value, budget.name, budget.prepaid, version)
 		}
 		if (JSON.stringify(value) === JSON.stringify(this.shard.value)) {
-			this.bundleSeen = version
+			this.appliedBundleVersion = version
 			return
 		}
-		if (!this.hooks.mayWrite(true)) return
+		if (!this.hooks.tryAcquireWrite(true)) return
 		this.writeShard(value, () => {
-			this.bundleSeen = version
+			this.appliedBundleVersion = version
 		})
 	}
 
 	private writeShard(value: BudgetShardValue, then: () => void): void {
-		this.swap(shardKey(this.number), this.shard?.revision ?? 0, value, (revision) => {
-			this.holdShard(value, revision)
+		this.compareAndSwap(shardKey(this.number), this.shard?.revision ?? 0, value, (revision) => {
+			this.setShard(value, revision)
 			this.context.log('shard-written', { shard: this.number, revision })
 			then()
 		})
@@ -279,38 +283,38 @@
 	private commitLedger(): boolean {
 		if (!this.ledger || !this.shard) return false
 		const draft = new LedgerDraft(this.ledger.value)
-		const asks = [...this.asks.values()]
-		const testimonies = [...this.testimonies.entries()]
-		const confessions = [...this.confessions.entries()]
+		const asks = [...this.requests.values()]
+		const testimonies = [...this.replicaReports.entries()]
+		const confessions = [...this.finalCounters.entries()]
 		const urgent = this.isUrgent()
 		const viewSeen = this.context.board.members.view.number
-		this.steps.noteAllotments(draft, this.shard.value)
-		this.steps.testify(
+		this.updates.applyAllotments(draft, this.shard.value)
+		this.updates.applyReplicaReports(
 			draft,
 			testimonies.map(([, row]) => row),
 		)
-		for (const [, row] of confessions) this.steps.confess(draft, row)
-		if (viewSeen !== this.viewSeen) this.steps.doubtLost(draft)
-		const rows = asks.map((ask) => this.applyAsk(draft, ask))
-		this.giveToOtherZones(draft)
+		for (const [, row] of confessions) this.updates.applyFinalCounters(draft, row)
+		if (viewSeen !== this.appliedView) this.updates.markLostInDoubt(draft)
+		const rows = asks.map((ask) => this.applyRequest(draft, ask))
+		this.returnForOtherZones(draft)
 		const done = (): void => {
-			this.viewSeen = viewSeen
-			for (const { name, fields } of draft.lines) this.context.log(name, fields)
-			for (const [key, row] of testimonies) dropSame(this.testimonies, key, row)
-			for (const [key, row] of confessions) this.endConfession(key, row)
+			this.appliedView = viewSeen
+			for (const { name, fields } of draft.logEvents) this.context.log(name, fields)
+			for (const [key, row] of testimonies) deleteIfUnchanged(this.replicaReports, key, row)
+			for (const [key, row] of confessions) this.removeFinalCounters(key, row)
 			asks.forEach((ask, i) => this.answer(ask, rows[i]))
 		}
-		const value = draft.finish(this.context.board.members.view.number)
+		const value = draft.build(this.context.board.members.view.number)
 		if (!value) {
 			done()
 			return false
 		}
 		// Held back, the same draft is made again with what has come up by then.
-		if (!this.hooks.mayWrite(urgent)) return true
+		if (!this.hooks.tryAcquireWrite(urgent)) return true
 		const key = zoneKeys.ledger(this.context.self.zone, this.number)
-		this.swap(key, this.ledger.revision, value, (revision) => {
+		this.compareAndSwap(key, this.ledger.revision, value, (revision) => {
 			this.ledger = { value, revision }
-			this.reportDue = true
+			this.hasUnreportedCounters = true
 			this.context.log('ledger-written', { shard: this.number, revision, asks: asks.length })
 			done()
 		})
@@ -318,18 +322,19 @@
 	}
 
 	/** Keeps a confession until its entry is closed. */
-	private endConfession(key: string, row: KeeperConfession): void {
+	private removeFinalCounters(key: string, row: FinalCounters): void {
 		const entries = this.ledger?.value.budgets[row.budget]?.entries ?? {}
-		if (!entries[entryKey(row.box, row.incarnation)]) dropSame(this.confessions, key, row)
+		if (!entries[entryKey(row.box, row.incarnation)])
+			deleteIfUnchanged(this.finalCounters, key, row)
 	}
 
-	private applyAsk(draft: LedgerDraft, ask: KeeperAsk): GrantRow {
-		const { row, given } = this.steps.ask(draft, ask)
-		if (given < ask.want) this.noteShortfall(ask, given)
+	private applyRequest(draft: LedgerDraft, ask: GrantRequest): GrantRow {
+		const { row, grantedNow: given } = this.updates.applyGrantRequest(draft, ask)
+		if (given < ask.want) this.addShortfall(ask, given)
 		return row
 	}
 
-	private noteShortfall(ask: KeeperAsk, given: Amount): void {
+	private addShortfall(ask: GrantRequest, given: Amount): void {
 		const known = this.shortfalls.get(ask.budget)
 		this.shortfalls.set(ask.budget, {
 			want: Math.max(ask.want - given, known?.want ?? 0),
@@ -339,36 +344,37 @@
 	}
 
 	/** Answers an ask once it is durable. A box that still lacks money asks again. */
-	private answer(ask: KeeperAsk, row: GrantRow | undefined): void {
+	private answer(ask: GrantRequest, row: GrantRow | undefined): void {
 		const key = `${entryKey(ask.box, ask.incarnation)}/${ask.budget}`
-		if (this.asks.get(key) === ask) this.asks.delete(key)
-		if (row) this.hooks.onGrants(ask, row)
+		if (this.requests.get(key) === ask) this.requests.delete(key)
+		if (row) this.hooks.onGrant(ask, row)
 	}
 
 	/** Allots money for the shortfalls, and reports the zone's counters. */
 	private commitShard(): boolean {
 		if (!this.shard || !this.ledger) return false
-		const report = this.reportDue && this.context.now - this.reportedAt >= SHARD_REPORT_MS
-		const owes = this.owesReturns()
+		const report =
+			this.hasUnreportedCounters && this.context.now - this.reportedAt >= SHARD_REPORT_PERIOD_MS
+		const owes = this.hasUnrecordedReturns()
 		if (this.shortfalls.size === 0 && !report && !owes) return false
 		const draft = new ShardDraft(this.shard.value, this.context.self.zone)
 		for (const [name, row] of Object.entries(this.ledger.value.budgets))
-			draft.report(name as BudgetName, row, this.shortfalls.has(name as BudgetName))
+			draft.updateCounters(name as BudgetName, row, this.shortfalls.has(name as BudgetName))
 		const zones = this.context.board.config.index?.zones.length ?? 1
 		const served = [...this.shortfalls].filter(([name, short]) => draft.allot(name, short, zones))
-		const value = draft.finish()
+		const value = draft.build()
 		if (!value) return false
-		if (!this.hooks.mayWrite(this.isUrgent() || owes)) return true
+		if (!this.hooks.tryAcquireWrite(this.isUrgent() || owes)) return true
 		this.writeShard(value, () => {
 			this.reportedAt = this.context.now
-			this.reportDue = false
-			for (const [name, short] of served) dropSame(this.shortfalls, name, short)
+			this.hasUnreportedCounters = false
+			for (const [name, short] of served) deleteIfUnchanged(this.shortfalls, name, short)
 			this.committedAt = -Infinity
 		})
 		return true
 	}
 
-	private owesReturns(): boolean {
+	private hasUnrecordedReturns(): boolean {
 		const zone = this.context.self.zone
 		return Object.entries(this.ledger?.value.budgets ?? {}).some(([name, row]) => {
 			const noted = this.shard?.value.budgets[name]?.zones[zone]?.returned ?? 0
@@ -377,52 +383,53 @@
 	}
 
 	/** Gives money that no box here holds to zones that lack it. */
-	private giveToOtherZones(draft: LedgerDraft): void {
-		for (const name of this.lacking) {
+	private returnForOtherZones(draft: LedgerDraft): void {
+		for (const name of this.budgetsShortElsewhere) {
 			if (this.shortfalls.has(name)) continue
 			const row = draft.budget(name)
-			giveUpToShard(row, this.lackElsewhere(name) - this.owed(name, row))
-			const missing = this.lackElsewhere(name) - this.owed(name, row)
+			returnToShard(row, this.shortfallElsewhere(name) - this.unrecordedReturn(name, row))
+			const missing = this.shortfallElsewhere(name) - this.unrecordedReturn(name, row)
 			if (missing > 0) this.hooks.onRecall(name, missing)
 		}
 	}
 
 	/** Given up in the ledger already, and not yet noted in the shard. */
-	private owed(name: BudgetName, row: LedgerBudget): Amount {
+	private unrecordedReturn(name: BudgetName, row: LedgerBudget): Amount {
 		const noted = this.shard?.value.budgets[name]?.zones[this.context.self.zone]?.returned ?? 0
 		return Math.max(0, row.returned - noted)
 	}
 
 	/** Recalls idle money inside the zone; after a while the word is that the budget is dry. */
-	private settleShortfalls(): void {
-		const patience = this.context.self.timing.recallWait + RECALL_POLLS * this.hooks.pollPeriod()
+	private handleShortfalls(): void {
+		const patience =
+			this.context.self.timing.recallWait + RECALL_WAIT_POLLS * this.hooks.pollPeriodMs()
 		for (const [budget, short] of this.shortfalls) {
 			const row = this.ledger?.value.budgets[budget]
 			const age = this.context.now - short.since
 			if (short.need === 0 || (row && freeInZone(row) > 0)) this.shortfalls.delete(budget)
 			else if (age < patience) this.hooks.onRecall(budget, short.need)
-			else this.callDry(budget)
+			else this.reportExhausted(budget)
 		}
 	}
 
-	private callDry(budget: BudgetName): void {
+	private reportExhausted(budget: BudgetName): void {
 		for (const [key, entry] of Object.entries(this.ledger?.value.budgets[budget]?.entries ?? {})) {
-			const ask = { ...splitEntryKey(key), budget, want: 0, need: 0, counters: EMPTY_COUNTERS }
+			const ask = { ...parseEntryKey(key), budget, want: 0, need: 0, counters: EMPTY_COUNTERS }
 			const { granted, returned, billed } = entry
 			if (entry.inDoubt === undefined)
-				this.hooks.onGrants(ask, { budget, granted, returned, billed, dry: true })
+				this.hooks.onGrant(ask, { budget, granted, returned, billed, dry: true })
 		}
 		this.shortfalls.delete(budget)
 	}
 }
 
 /** Time between two reads of a shard so that all zones together stay within a read rate. */
-export function pollPeriodFor(zones: number, shards: number, readsPerSecond: number): Millis {
-	return Math.max(SHORTEST_POLL_MS, (zones * shards * SECOND_MS) / readsPerSecond)
+export function shardPollPeriodMs(zones: number, shards: number, readsPerSecond: number): Millis {
+	return Math.max(MIN_POLL_PERIOD_MS, (zones * shards * SECOND_MS) / readsPerSecond)
 }
 
-const SHORTEST_POLL_MS: Millis = 500
+const MIN_POLL_PERIOD_MS: Millis = 500
 
-function dropSame<K, T>(map: Map<K, T>, key: K, row: T): void {
+function deleteIfUnchanged<K, T>(map: Map<K, T>, key: K, row: T): void {
 	if (map.get(key) === row) map.delete(key)
 }
--- a/packages/core/src/lib/money/RateBudget.ts
+++ b/packages/core/src/lib/money/RateLimiter.ts
@@ -4,9 +4,9 @@
  * A zone's part of a platform rate, as a token bucket. Routine calls leave half of the burst to
  * urgent ones, so that a waiting request never queues behind book-keeping.
  */
-export class RateBudget {
+export class RateLimiter {
 	private tokens: number
-	private filledAt: Millis = 0
+	private refilledAt: Millis = 0
 
 	constructor(
 		private perSecond: number,
@@ -21,9 +21,9 @@
 	}
 
 	/** True where a call may be made now; it is then counted. */
-	take(now: Millis, urgent: boolean): boolean {
-		const elapsed = Math.max(0, now - this.filledAt)
-		this.filledAt = now
+	tryAcquire(now: Millis, urgent: boolean): boolean {
+		const elapsed = Math.max(0, now - this.refilledAt)
+		this.refilledAt = now
 		this.tokens = Math.min(this.burst, this.tokens + (elapsed * this.perSecond) / SECOND_MS)
 		const floor = urgent ? 1 : this.burst / 2
 		if (this.tokens < floor) return false
--- a/packages/core/src/lib/money/ShardDraft.ts
+++ b/packages/core/src/lib/money/ShardDraft.ts
@@ -2,17 +2,17 @@
 import type { Amount } from '../units.js'
 import {
 	allotToZone,
-	noteZoneCounters,
+	raiseZoneCounters,
 	unspentInShard,
-	zoneAllotment,
+	getOrCreateZoneAllotment,
 	type BudgetShardValue,
 	type ShardBudget,
 } from './BudgetShard.js'
-import { softShare } from './softShare.js'
+import { capToFairShare } from './capToFairShare.js'
 import { billedInZone, inDoubtInZone, type LedgerBudget } from './ZoneLedger.js'
 
 /** What a zone lacks of a budget. */
-export interface ZoneWant {
+export interface ZoneShortfall {
 	/** To cover the horizon of its boxes. */
 	readonly want: Amount
 	/** The part of it that waiting requests lack. */
@@ -20,11 +20,11 @@
 }
 
 /** A zone that lacks money asks for this part of its share more, so as not to ask at once again. */
-const SPARE_PART = 0.1
+const SPARE_FRACTION = 0.1
 
 /** The next value of a budget shard, as one zone writes it. Only what is written is copied. */
 export class ShardDraft {
-	private readonly touched = new Map<string, ShardBudget>()
+	private readonly modified = new Map<string, ShardBudget>()
 
 	constructor(
 		private readonly base: BudgetShardValue,
@@ -32,7 +32,7 @@
 	) {}
 
 	/** Brings the zone's counters of a budget in; takes back a want that no box has any more. */
-	report(name: BudgetName, row: LedgerBudget, wants: boolean): void {
+	updateCounters(name: BudgetName, row: LedgerBudget, wants: boolean): void {
 		const old = this.base.budgets[name]?.zones[this.zone]
 		const billed = billedInZone(row)
 		const inDoubt = inDoubtInZone(row)
@@ -40,41 +40,41 @@
 		const wantIsOver = (old?.wanted ?? 0) > 0 && !wants
 		const same = old?.billed === billed && old.returned === returned && old.inDoubt === inDoubt
 		if (same && !wantIsOver) return
-		const budget = this.budget(name)
+		const budget = this.modifiedBudget(name)
 		if (!budget) return
-		noteZoneCounters(budget, this.zone, { returned, billed, inDoubt })
-		if (wantIsOver) zoneAllotment(budget, this.zone).wanted = 0
+		raiseZoneCounters(budget, this.zone, { returned, billed, inDoubt })
+		if (wantIsOver) getOrCreateZoneAllotment(budget, this.zone).wanted = 0
 	}
 
 	/** Allots what a zone needs and a share of the rest. True where the need is met. */
-	allot(name: BudgetName, lack: ZoneWant, zones: number): boolean {
-		const budget = this.budget(name)
+	allot(name: BudgetName, lack: ZoneShortfall, zones: number): boolean {
+		const budget = this.modifiedBudget(name)
 		if (!budget) return false
-		const row = zoneAllotment(budget, this.zone)
+		const row = getOrCreateZoneAllotment(budget, this.zone)
 		const share = unspentInShard(budget) / zones
 		const holds = row.allotted - row.returned - row.billed
-		const soft = softShare(lack.want - lack.need, share, holds + lack.need)
+		const soft = capToFairShare(lack.want - lack.need, share, holds + lack.need)
 		const given = allotToZone(budget, this.zone, lack.need + soft)
-		const spare = softShare(lack.want - lack.need, share * SPARE_PART, 0)
+		const spare = capToFairShare(lack.want - lack.need, share * SPARE_FRACTION, 0)
 		row.wanted = given < lack.need ? lack.need - given + spare : 0
 		return given >= lack.need
 	}
 
 	/** The new value, or undefined where nothing is different. */
-	finish(): BudgetShardValue | undefined {
-		const changed = [...this.touched].filter(([name, budget]) => {
+	build(): BudgetShardValue | undefined {
+		const changed = [...this.modified].filter(([name, budget]) => {
 			return JSON.stringify(budget) !== JSON.stringify(this.base.budgets[name])
 		})
 		if (changed.length === 0) return undefined
 		return { budgets: { ...this.base.budgets, ...Object.fromEntries(changed) } }
 	}
 
-	private budget(name: string): ShardBudget | undefined {
-		const known = this.touched.get(name)
+	private modifiedBudget(name: string): ShardBudget | undefined {
+		const known = this.modified.get(name)
 		const old = this.base.budgets[name]
 		if (known || !old) return known
 		const copy = structuredClone(old)
-		this.touched.set(name, copy)
+		this.modified.set(name, copy)
 		return copy
 	}
 }
--- a/packages/core/src/lib/money/SliceLedger.ts
+++ b/packages/core/src/lib/money/SliceLedger.ts
@@ -1,5 +1,5 @@
 import type { BudgetName } from '../ids.js'
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import type { Amount } from '../units.js'
 
 /**
@@ -43,7 +43,7 @@
 }
 
 /** What a counter set still holds: the money that was given in and not given away. @public */
-export function heldAmount(counters: SliceCounters): Amount {
+export function balanceOf(counters: SliceCounters): Amount {
 	return counters.granted + counters.received - counters.returned - counters.sent
 }
 
@@ -70,7 +70,7 @@
 	/** Money that a new reservation may take. */
 	available(budget: BudgetName): Amount {
 		const slice = this.slices.get(budget)
-		return slice ? heldAmount(slice) - slice.billed - slice.reserved : 0
+		return slice ? balanceOf(slice) - slice.billed - slice.reserved : 0
 	}
 
 	/** Money reserved for requests that are running or about to run. */
@@ -91,22 +91,22 @@
 
 	/** Takes the keeper's cumulative grant; an older one changes nothing. */
 	grant(budget: BudgetName, granted: Amount): void {
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		slice.granted = Math.max(slice.granted, granted)
 	}
 
 	/** Reserves the worst case of a request. False where the slice is too small. */
 	reserve(budget: BudgetName, amount: Amount): boolean {
 		if (this.available(budget) < amount) return false
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		slice.reserved += amount
-		this.check(budget, slice)
+		this.assertNotOverdrawn(budget, slice)
 		return true
 	}
 
 	/** Ends a reservation: bills the true charge and frees the rest at once. */
 	settle(budget: BudgetName, reserved: Amount, charge: Amount): void {
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		assertInvariant(charge <= reserved && reserved <= slice.reserved, 'slice-not-overdrawn', {
 			budget,
 			charge,
@@ -114,33 +114,33 @@
 		})
 		slice.reserved -= reserved
 		slice.billed += charge
-		this.check(budget, slice)
+		this.assertNotOverdrawn(budget, slice)
 	}
 
 	/** Gives idle money back to the zone ledger. Returns what was given up. */
-	giveBack(budget: BudgetName, amount: Amount): Amount {
+	returnIdle(budget: BudgetName, amount: Amount): Amount {
 		const given = Math.max(0, Math.min(amount, this.available(budget)))
 		if (given === 0) return 0
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		slice.returned += given
-		this.check(budget, slice)
+		this.assertNotOverdrawn(budget, slice)
 		return given
 	}
 
 	/** Gives idle money to another box incarnation. Returns the cumulative amount sent to it. */
 	sendTo(budget: BudgetName, peer: string, amount: Amount): Amount {
 		const given = Math.max(0, Math.min(amount, this.available(budget)))
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		const total = (slice.sentTo.get(peer) ?? 0) + given
 		slice.sentTo.set(peer, total)
 		slice.sent += given
-		this.check(budget, slice)
+		this.assertNotOverdrawn(budget, slice)
 		return total
 	}
 
 	/** Takes another incarnation's cumulative transfer. Returns what was new in it. */
 	receiveFrom(budget: BudgetName, peer: string, cumulative: Amount): Amount {
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		const before = slice.receivedFrom.get(peer) ?? 0
 		const fresh = Math.max(0, cumulative - before)
 		slice.receivedFrom.set(peer, before + fresh)
@@ -150,16 +150,16 @@
 
 	/** Notes the watermark that the witness has acknowledged. */
 	acknowledgeWatermark(budget: BudgetName, upTo: Amount): void {
-		const slice = this.open(budget)
+		const slice = this.getOrCreate(budget)
 		slice.watermark = Math.max(slice.watermark, upTo)
 	}
 
 	/** Forgets all acknowledged watermarks: a new witness knows none yet. */
-	forgetWatermarks(): void {
+	resetWatermarks(): void {
 		for (const slice of this.slices.values()) slice.watermark = 0
 	}
 
-	private open(budget: BudgetName): Slice {
+	private getOrCreate(budget: BudgetName): Slice {
 		let slice = this.slices.get(budget)
 		if (!slice) {
 			slice = {
@@ -174,8 +174,8 @@
 		return slice
 	}
 
-	private check(budget: BudgetName, slice: Slice): void {
-		const held = heldAmount(slice)
+	private assertNotOverdrawn(budget: BudgetName, slice: Slice): void {
+		const held = balanceOf(slice)
 		const drawn = slice.billed + slice.reserved
 		assertInvariant(drawn <= held && slice.reserved >= 0, 'slice-not-overdrawn', {
 			budget,
--- a/packages/core/src/lib/money/ZoneLedger.ts
+++ b/packages/core/src/lib/money/ZoneLedger.ts
@@ -1,7 +1,7 @@
 import type { BoxName, BudgetName, Incarnation } from '../ids.js'
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import type { Amount } from '../units.js'
-import { heldAmount, type SliceCounters } from './SliceLedger.js'
+import { balanceOf, type SliceCounters } from './SliceLedger.js'
 
 /** What the zone ledger holds of one box incarnation and budget. @public */
 export interface LedgerEntry {
@@ -41,12 +41,12 @@
 }
 
 /** Sealed incarnations that a ledger remembers; a testimony is repeated for seconds only. */
-const SEALED_KEPT = 256
+const MAX_SEALED_KEYS = 256
 
 /** Notes that an incarnation is sealed in this ledger. @public */
-export function noteSealed(value: ZoneLedgerValue, key: string): void {
+export function addSealed(value: ZoneLedgerValue, key: string): void {
 	value.sealed.push(key)
-	while (value.sealed.length > SEALED_KEPT) value.sealed.shift()
+	while (value.sealed.length > MAX_SEALED_KEYS) value.sealed.shift()
 }
 
 /** Key of a box incarnation inside a ledger value. @public */
@@ -55,7 +55,7 @@
 }
 
 /** Reads the parts of an {@link entryKey}. @public */
-export function splitEntryKey(key: string): { box: BoxName; incarnation: Incarnation } {
+export function parseEntryKey(key: string): { box: BoxName; incarnation: Incarnation } {
 	const at = key.indexOf('#')
 	return { box: key.slice(0, at) as BoxName, incarnation: key.slice(at + 1) as Incarnation }
 }
@@ -66,7 +66,7 @@
 }
 
 /** The budget's part of a ledger value, made where absent. @public */
-export function ledgerBudget(value: ZoneLedgerValue, budget: BudgetName): LedgerBudget {
+export function getOrCreateLedgerBudget(value: ZoneLedgerValue, budget: BudgetName): LedgerBudget {
 	const found = value.budgets[budget]
 	if (found) return found
 	const made: LedgerBudget = {
@@ -114,12 +114,12 @@
 }
 
 /** Takes higher transfer counters into an entry. */
-function noteTransfers(entry: LedgerEntry, sent: Amount, received: Amount): void {
+function raiseTransferCounters(entry: LedgerEntry, sent: Amount, received: Amount): void {
 	if (sent > (entry.sent ?? 0)) entry.sent = sent
 	if (received > (entry.received ?? 0)) entry.received = received
 }
 
-function openEntry(row: LedgerBudget, key: string): LedgerEntry {
+function getOrCreateEntry(row: LedgerBudget, key: string): LedgerEntry {
 	const found = row.entries[key]
 	if (found) return found
 	const made: LedgerEntry = { granted: 0, returned: 0, billed: 0 }
@@ -127,37 +127,37 @@
 	return made
 }
 
-function checkZone(row: LedgerBudget): void {
+function assertNotOvergranted(row: LedgerBudget): void {
 	const free = freeInZone(row)
 	assertInvariant(free >= 0, 'zone-not-overgranted', { allotted: row.allotted, free })
 }
 
 /** Notes a newer allotment of the shard. An older one changes nothing. @public */
-export function noteAllotment(row: LedgerBudget, allotted: Amount): void {
+export function raiseAllotment(row: LedgerBudget, allotted: Amount): void {
 	row.allotted = Math.max(row.allotted, allotted)
 }
 
 /** Grants up to `want` to a box. Returns what was granted now. @public */
 export function grantToBox(row: LedgerBudget, key: string, want: Amount): Amount {
-	const entry = openEntry(row, key)
+	const entry = getOrCreateEntry(row, key)
 	if (entry.inDoubt !== undefined) return 0
 	const given = Math.max(0, Math.min(want, freeInZone(row)))
 	entry.granted += given
-	checkZone(row)
+	assertNotOvergranted(row)
 	return given
 }
 
 /** Takes a box's own cumulative counters. Older ones change nothing. @public */
-export function noteCounters(row: LedgerBudget, key: string, counters: SliceCounters): void {
-	const entry = openEntry(row, key)
+export function raiseCounters(row: LedgerBudget, key: string, counters: SliceCounters): void {
+	const entry = getOrCreateEntry(row, key)
 	entry.billed = Math.max(entry.billed, counters.billed)
 	entry.returned = Math.max(entry.returned, counters.returned)
-	noteTransfers(entry, counters.sent, counters.received)
-	checkZone(row)
+	raiseTransferCounters(entry, counters.sent, counters.received)
+	assertNotOvergranted(row)
 }
 
 /** What a witness knows of a box incarnation that is gone, for one budget. @public */
-export interface Testimony {
+export interface ReplicaReport {
 	readonly billed: Amount
 	/** The incarnation cannot have drawn more than this. */
 	readonly watermark: Amount
@@ -171,20 +171,20 @@
  * the tranche between bill and watermark stays in doubt.
  * @public
  */
-export function sealEntry(row: LedgerBudget, key: string, testimony: Testimony): void {
-	const entry = openEntry(row, key)
+export function sealEntry(row: LedgerBudget, key: string, testimony: ReplicaReport): void {
+	const entry = getOrCreateEntry(row, key)
 	if (entry.sealed) return
 	const returned = Math.max(entry.returned, testimony.returned)
-	const held = heldAmount({ ...testimony, granted: entry.granted, returned })
+	const held = balanceOf({ ...testimony, granted: entry.granted, returned })
 	const billed = Math.max(entry.billed, testimony.billed)
 	const drawn = Math.max(billed, Math.min(held, testimony.watermark))
 	const free = Math.max(0, held - drawn)
-	noteTransfers(entry, testimony.sent, testimony.received)
+	raiseTransferCounters(entry, testimony.sent, testimony.received)
 	entry.billed = billed
 	entry.returned = returned + free
 	entry.inDoubt = Math.max(0, Math.min(held, drawn) - billed)
 	entry.sealed = true
-	checkZone(row)
+	assertNotOvergranted(row)
 	if (entry.inDoubt === 0) closeEntry(row, key)
 }
 
@@ -193,11 +193,11 @@
  * entry stays open even where nothing is in doubt: a testimony may still bring bills.
  * @public
  */
-export function doubtEntry(row: LedgerBudget, key: string): void {
+export function markEntryInDoubt(row: LedgerBudget, key: string): void {
 	const entry = row.entries[key]
 	if (!entry || entry.inDoubt !== undefined) return
 	const { granted, returned, sent = 0, received = 0 } = entry
-	const held = heldAmount({ granted, returned, sent, received, billed: 0 })
+	const held = balanceOf({ granted, returned, sent, received, billed: 0 })
 	entry.inDoubt = Math.max(0, held - entry.billed)
 }
 
@@ -208,7 +208,7 @@
 	const freed = entry.inDoubt
 	entry.returned += freed
 	entry.inDoubt = 0
-	checkZone(row)
+	assertNotOvergranted(row)
 	closeEntry(row, key)
 	return freed
 }
@@ -220,18 +220,18 @@
 	row.closed.granted += entry.granted
 	row.closed.returned += entry.returned
 	row.closed.billed += entry.billed
-	noteTransfers(
+	raiseTransferCounters(
 		row.closed,
 		(row.closed.sent ?? 0) + (entry.sent ?? 0),
 		(row.closed.received ?? 0) + (entry.received ?? 0),
 	)
 	delete row.entries[key]
-	checkZone(row)
+	assertNotOvergranted(row)
 }
 
 /** Gives free money of the zone up for the shard. Returns the new cumulative amount. @public */
-export function giveUpToShard(row: LedgerBudget, amount: Amount): Amount {
+export function returnToShard(row: LedgerBudget, amount: Amount): Amount {
 	row.returned += Math.max(0, Math.min(amount, freeInZone(row)))
-	checkZone(row)
+	assertNotOvergranted(row)
 	return row.returned
 }
--- a/packages/core/src/lib/money/money.property.test.ts
+++ b/packages/core/src/lib/money/money.property.test.ts
@@ -5,23 +5,23 @@
 	allotToZone,
 	emptyShard,
 	freeInShard,
-	noteZoneCounters,
+	raiseZoneCounters,
 	outstandingInShard,
 	setPrepaid,
 	type ShardBudget,
 } from './BudgetShard.js'
-import { SliceLedger, heldAmount } from './SliceLedger.js'
+import { SliceLedger, balanceOf } from './SliceLedger.js'
 import {
 	billedInZone,
 	emptyZoneLedger,
 	entryKey,
 	freeInZone,
-	giveUpToShard,
+	returnToShard,
 	grantToBox,
 	inDoubtInZone,
-	ledgerBudget,
-	noteAllotment,
-	noteCounters,
+	getOrCreateLedgerBudget,
+	raiseAllotment,
+	raiseCounters,
 	releaseEntry,
 	sealEntry,
 	type LedgerBudget,
@@ -33,7 +33,7 @@
 const SEED = 20_261_202
 
 /** One budget through all three levels, with messages that may be late, lost or doubled. */
-class Escrow {
+class BudgetModel {
 	readonly shard: ShardBudget
 	readonly row: LedgerBudget
 	readonly boxes = [0, 1, 2].map((i) => this.newBox(i))
@@ -43,7 +43,7 @@
 		const value = emptyShard()
 		setPrepaid(value, BUDGET, PREPAID, 1)
 		this.shard = value.budgets[BUDGET] as ShardBudget
-		this.row = ledgerBudget(emptyZoneLedger(), BUDGET)
+		this.row = getOrCreateLedgerBudget(emptyZoneLedger(), BUDGET)
 	}
 
 	newBox(i: number) {
@@ -59,62 +59,62 @@
 	}
 }
 
-type Step = (escrow: Escrow) => void
+type ModelStep = (escrow: BudgetModel) => void
 const amount = fc.integer({ min: 0, max: 3_000 })
 const box = fc.integer({ min: 0, max: 2 })
 
-function live(escrow: Escrow, i: number) {
+function runningBox(escrow: BudgetModel, i: number) {
 	const found = escrow.boxes[i]
 	return found && !found.gone ? found : undefined
 }
 
-const steps: fc.Arbitrary<Step> = fc.oneof(
-	amount.map((want): Step => (e) => {
+const steps: fc.Arbitrary<ModelStep> = fc.oneof(
+	amount.map((want): ModelStep => (e) => {
 		allotToZone(e.shard, ZONE, want)
-		noteAllotment(e.row, e.shard.zones[ZONE]?.allotted ?? 0)
+		raiseAllotment(e.row, e.shard.zones[ZONE]?.allotted ?? 0)
 	}),
-	fc.tuple(box, amount, fc.boolean()).map(([i, want, delivered]): Step => (e) => {
-		const to = live(e, i)
+	fc.tuple(box, amount, fc.boolean()).map(([i, want, delivered]): ModelStep => (e) => {
+		const to = runningBox(e, i)
 		if (!to) return
 		grantToBox(e.row, to.key, want)
 		if (delivered) to.ledger.grant(BUDGET, e.row.entries[to.key]?.granted ?? 0)
 	}),
-	fc.tuple(box, amount).map(([i, worst]): Step => (e) => {
-		const at = live(e, i)
+	fc.tuple(box, amount).map(([i, worst]): ModelStep => (e) => {
+		const at = runningBox(e, i)
 		if (!at || !at.ledger.reserve(BUDGET, worst)) return
 		at.reserved.push(worst)
 		at.watermark = Math.max(at.watermark, at.ledger.drawn(BUDGET))
 	}),
-	fc.tuple(box, fc.double({ min: 0, max: 1, noNaN: true })).map(([i, share]): Step => (e) => {
-		const at = live(e, i)
+	fc.tuple(box, fc.double({ min: 0, max: 1, noNaN: true })).map(([i, share]): ModelStep => (e) => {
+		const at = runningBox(e, i)
 		const worst = at?.reserved.shift()
 		if (!at || worst === undefined) return
 		const charge = Math.floor(worst * share)
 		at.ledger.settle(BUDGET, worst, charge)
 		e.spent += charge
 	}),
-	fc.tuple(box, amount).map(([i, idle]): Step => (e) => {
-		live(e, i)?.ledger.giveBack(BUDGET, idle)
+	fc.tuple(box, amount).map(([i, idle]): ModelStep => (e) => {
+		runningBox(e, i)?.ledger.returnIdle(BUDGET, idle)
 	}),
-	box.map((i): Step => (e) => {
-		const at = live(e, i)
-		if (at) noteCounters(e.row, at.key, at.ledger.counters(BUDGET))
+	box.map((i): ModelStep => (e) => {
+		const at = runningBox(e, i)
+		if (at) raiseCounters(e.row, at.key, at.ledger.counters(BUDGET))
 	}),
-	fc.tuple(box, box, amount, fc.boolean()).map(([a, b, idle, delivered]): Step => (e) => {
-		const from = live(e, a)
-		const to = live(e, b)
+	fc.tuple(box, box, amount, fc.boolean()).map(([a, b, idle, delivered]): ModelStep => (e) => {
+		const from = runningBox(e, a)
+		const to = runningBox(e, b)
 		if (!from || !to || a === b) return
 		const total = from.ledger.sendTo(BUDGET, to.key, idle)
 		if (delivered) to.ledger.receiveFrom(BUDGET, from.key, total)
 		if (delivered) to.ledger.receiveFrom(BUDGET, from.key, total)
 	}),
-	amount.map((idle): Step => (e) => {
-		const returned = giveUpToShard(e.row, idle)
+	amount.map((idle): ModelStep => (e) => {
+		const returned = returnToShard(e.row, idle)
 		const billed = billedInZone(e.row)
-		noteZoneCounters(e.shard, ZONE, { returned, billed, inDoubt: inDoubtInZone(e.row) })
+		raiseZoneCounters(e.shard, ZONE, { returned, billed, inDoubt: inDoubtInZone(e.row) })
 	}),
-	fc.tuple(box, fc.boolean()).map(([i, confesses]): Step => (e) => {
-		const at = live(e, i)
+	fc.tuple(box, fc.boolean()).map(([i, confesses]): ModelStep => (e) => {
+		const at = runningBox(e, i)
 		if (!at) return
 		at.gone = true
 		const { billed, sent, received, returned } = at.ledger.counters(BUDGET)
@@ -128,7 +128,7 @@
 	it('never lets spend pass the prepaid amount, whatever is lost, late or doubled', () => {
 		fc.assert(
 			fc.property(fc.array(steps, { maxLength: 80 }), (list) => {
-				const escrow = new Escrow()
+				const escrow = new BudgetModel()
 				for (const step of list) {
 					step(escrow)
 					escrow.check()
@@ -143,7 +143,7 @@
 		expect(ledger.receiveFrom(BUDGET, 'a#1', 50)).toBe(50)
 		expect(ledger.receiveFrom(BUDGET, 'a#1', 50)).toBe(0)
 		expect(ledger.receiveFrom(BUDGET, 'a#1', 20)).toBe(0)
-		expect(heldAmount(ledger.counters(BUDGET))).toBe(50)
+		expect(balanceOf(ledger.counters(BUDGET))).toBe(50)
 	})
 
 	it('refuses a lower prepaid amount as far as the money is allotted', () => {
--- a/packages/core/src/lib/overload/shedPart.test.ts
+++ b/packages/core/src/lib/overload/shedFraction.test.ts
@@ -1,17 +1,17 @@
 import { describe, expect, it } from 'vitest'
-import { shedPart } from './shedPart.js'
+import { shedFraction } from './shedFraction.js'
 
 describe('shedPart', () => {
 	it('refuses nothing while the box keeps up', () => {
-		expect(shedPart(0, true)).toBe(0)
-		expect(shedPart(100, true)).toBe(0)
-		expect(shedPart(250, false)).toBe(0)
+		expect(shedFraction(0, true)).toBe(0)
+		expect(shedFraction(100, true)).toBe(0)
+		expect(shedFraction(250, false)).toBe(0)
 	})
 
 	it('refuses more the later the box is, long work first, and never all', () => {
 		let before = { long: 0, short: 0 }
 		for (let delayMs = 0; delayMs <= 3_000; delayMs += 50) {
-			const now = { long: shedPart(delayMs, true), short: shedPart(delayMs, false) }
+			const now = { long: shedFraction(delayMs, true), short: shedFraction(delayMs, false) }
 			expect(now.long).toBeGreaterThanOrEqual(before.long)
 			expect(now.short).toBeGreaterThanOrEqual(before.short)
 			expect(now.long).toBeGreaterThanOrEqual(now.short)
--- a/packages/core/src/lib/overload/shedPart.ts
+++ b/packages/core/src/lib/overload/shedFraction.ts
@@ -7,10 +7,10 @@
 }
 
 /** Long work is refused first: a short request is worth most where it is answered at once. */
-const LONG_WORK: DelayRange = { fromMs: 120, toMs: 400 }
-const SHORT_WORK: DelayRange = { fromMs: 300, toMs: 800 }
+const LONG_REQUEST_DELAYS: DelayRange = { fromMs: 120, toMs: 400 }
+const SHORT_REQUEST_DELAYS: DelayRange = { fromMs: 300, toMs: 800 }
 /** Part of the requests that is refused at most: some have to show that the box has recovered. */
-const MOST_REFUSED = 0.9
+const MAX_SHED_FRACTION = 0.9
 
 /**
  * Part of the requests that a busy box refuses at once, so that the others are served in time: a box
@@ -18,8 +18,8 @@
  * timers are late.
  * @public
  */
-export function shedPart(delayMs: Millis, isLongWork: boolean): number {
-	const { fromMs, toMs } = isLongWork ? LONG_WORK : SHORT_WORK
+export function shedFraction(delayMs: Millis, isLongWork: boolean): number {
+	const { fromMs, toMs } = isLongWork ? LONG_REQUEST_DELAYS : SHORT_REQUEST_DELAYS
 	const part = (delayMs - fromMs) / (toMs - fromMs)
-	return MOST_REFUSED * Math.min(1, Math.max(0, part))
+	return MAX_SHED_FRACTION * Math.min(1, Math.max(0, part))
 }
--- a/packages/core/src/lib/placement/AttemptHandle.ts
+++ b/packages/core/src/lib/placement/AttemptHandle.ts
@@ -1,7 +1,7 @@
 import type { TargetName } from '../ids.js'
 import type { Millis } from '../units.js'
 import type { TargetLoad } from './TargetEntry.js'
-import type { AttemptVerdict } from './TargetState.js'
+import type { TargetOutcome } from './TargetState.js'
 
 /** An attempt under way: what the board is told about it. @public */
 export interface AttemptHandle {
@@ -27,5 +27,5 @@
 	noteUnreadableRate(text: string): boolean
 	/** No byte of the request left this box: what it was counted for is free again. To be said before the end. */
 	noteUnsent(): void
-	end(verdict: AttemptVerdict, now: Millis): void
+	end(verdict: TargetOutcome, now: Millis): void
 }
--- a/packages/core/src/lib/placement/LapsedTargets.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.ts
@@ -21,11 +21,11 @@
  * that comes and goes does not lengthen it.
  * @public
  */
-export class LapsedTargets {
+export class ExpiredTargets {
 	private listed: readonly TargetEntry[] = []
 	private unusable: readonly TargetName[] = []
-	private kept: readonly LapsedTarget[] = []
-	private reached = true
+	private retained: readonly LapsedTarget[] = []
+	private isStoreReachable = true
 	private graceUntil: Millis = Number.NEGATIVE_INFINITY
 
 	/**
@@ -35,8 +35,8 @@
 	 */
 	noteContact(reached: boolean, now: Millis, answeredMs: Millis = 0): void {
 		const sinceReturn = answeredMs < LAPSE_GRACE_MS ? answeredMs : 0
-		if (reached && !this.reached) this.graceUntil = now - sinceReturn + LAPSE_GRACE_MS
-		this.reached = reached
+		if (reached && !this.isStoreReachable) this.graceUntil = now - sinceReturn + LAPSE_GRACE_MS
+		this.isStoreReachable = reached
 	}
 
 	/** The store came back from a copy: entries that it lacks are written anew by targets that live. */
@@ -48,17 +48,17 @@
 	 * Takes the newest list; returns the targets that are to be used. `unusable`: targets whose entries are there and
 	 * can't be used, which did not run out.
 	 */
-	take(
+	update(
 		listed: readonly TargetEntry[],
 		now: Millis,
 		unusable: readonly TargetName[] = [],
 	): readonly TargetEntry[] {
 		const names = new Set<TargetName>([...listed.map((entry) => entry.name), ...unusable])
-		const until = this.reached ? this.graceUntil : now + LAPSE_GRACE_MS
+		const until = this.isStoreReachable ? this.graceUntil : now + LAPSE_GRACE_MS
 		const missing = this.listed
 			.filter((entry) => !entry.leaving)
 			.map((entry): LapsedTarget => ({ entry, until }))
-		this.kept = [...this.kept, ...missing].filter(
+		this.retained = [...this.retained, ...missing].filter(
 			(lapsed) => !names.has(lapsed.entry.name) && now < lapsed.until,
 		)
 		this.listed = listed
@@ -68,16 +68,16 @@
 
 	/** Targets that are used although they are not listed. */
 	get lapsed(): readonly TargetEntry[] {
-		return this.kept.map((lapsed) => lapsed.entry)
+		return this.retained.map((lapsed) => lapsed.entry)
 	}
 
 	/** True where a target is used although it is not listed; asked for each choice. */
-	isLapsed(target: TargetName): boolean {
-		return this.kept.some(({ entry }) => entry.name === target)
+	isExpired(target: TargetName): boolean {
+		return this.retained.some(({ entry }) => entry.name === target)
 	}
 
 	/** The list as it stands now that time has passed. */
-	retake(now: Millis): readonly TargetEntry[] {
-		return this.take(this.listed, now, this.unusable)
+	refresh(now: Millis): readonly TargetEntry[] {
+		return this.update(this.listed, now, this.unusable)
 	}
 }
--- a/packages/core/src/lib/placement/FleetRateGate.ts
+++ b/packages/core/src/lib/placement/FleetRateLimiter.ts
@@ -4,7 +4,7 @@
 import type { Millis } from '../units.js'
 
 /** How a rate that holds for all boxes together is divided among them. @public */
-export interface RateDivision {
+export interface RateAllocation {
 	/** Boxes that send to the target: the same ones for all, by rendezvous. */
 	readonly senders: number
 	/** Rate of the token bucket of each of them, in requests a second. */
@@ -19,18 +19,18 @@
 }
 
 /** A rate of requests to one target that holds for all boxes together. @public */
-export interface FleetRate {
+export interface FleetRateLimit {
 	/** Its division among so many boxes. */
-	readonly divide: (boxes: number) => RateDivision
+	readonly allocate: (boxes: number) => RateAllocation
 	/**
 	 * When a box that may not send tries one request, because it has not heard for long whether the rate still holds:
 	 * from `dueAt` on, later by a part of `spreadMs` that differs from box to box. Undefined: its end is known beforehand.
 	 */
-	readonly trial: { readonly dueAt: Millis; readonly spreadMs: Millis } | undefined
+	readonly probe: { readonly dueAt: Millis; readonly jitterMs: Millis } | undefined
 }
 
-/** What a {@link FleetRateGate} works with. @public */
-export interface FleetRateGateOptions {
+/** What a {@link FleetRateLimiter} works with. @public */
+export interface FleetRateLimiterOptions {
 	readonly self: BoxName
 	/** The boxes of the fleet: the same array for as long as they stay the same. */
 	readonly boxes: () => readonly BoxName[]
@@ -39,14 +39,14 @@
 }
 
 /** The part of this box in a rate. @public */
-export interface RateShare {
+export interface RateLimitShare {
 	/** Requests a second; 0 where it is none of the senders. */
 	readonly perSecond: number
 	/** Requests that it may send now. */
 	readonly tokens: number
 }
 
-interface Bucket {
+interface TokenBucket {
 	/** This box is one of those that send to the target. */
 	isSender: boolean
 	/** Requests a second of this box; 0 where it is no sender. */
@@ -55,9 +55,9 @@
 	boxes: readonly BoxName[]
 	senders: number
 	tokens: number
-	filledAt: Millis
+	refilledAt: Millis
 	/** When this box last sent a request. */
-	sentAt: Millis
+	lastSentAt: Millis
 }
 
 const SECOND_MS = 1_000
@@ -70,39 +70,39 @@
  * target in need bears.
  * @public
  */
-export class FleetRateGate {
-	private readonly buckets = new Map<TargetName, Bucket>()
+export class FleetRateLimiter {
+	private readonly buckets = new Map<TargetName, TokenBucket>()
 
-	constructor(private readonly options: FleetRateGateOptions) {}
+	constructor(private readonly options: FleetRateLimiterOptions) {}
 
 	/** True where this box may send the target one more request now. */
-	isOpen(target: TargetName, rate: FleetRate, now: Millis): boolean {
-		return this.options.isSettled() && this.opensAt(target, rate, now) <= now
+	canSend(target: TargetName, rate: FleetRateLimit, now: Millis): boolean {
+		return this.options.isSettled() && this.nextSendAt(target, rate, now) <= now
 	}
 
 	/** When this box may send the target one more request, as far as is known; Infinity: never. */
-	opensAt(target: TargetName, rate: FleetRate, now: Millis): Millis {
+	nextSendAt(target: TargetName, rate: FleetRateLimit, now: Millis): Millis {
 		const bucket = this.bucket(target, rate, now)
-		if (bucket.perSecond === 0) return this.trialAt(target, bucket, rate)
+		if (bucket.perSecond === 0) return this.probeAt(target, bucket, rate)
 		return now + (Math.max(0, 1 - bucket.tokens) / bucket.perSecond) * SECOND_MS
 	}
 
 	/** Counts a request that goes to the target now. */
-	take(target: TargetName, rate: FleetRate, now: Millis): void {
+	consume(target: TargetName, rate: FleetRateLimit, now: Millis): void {
 		const bucket = this.bucket(target, rate, now)
 		// A trial goes without a token: taken as a debt, trials of minutes would hold back what is named afterwards.
 		bucket.tokens = Math.max(0, bucket.tokens - 1)
-		bucket.sentAt = now
+		bucket.lastSentAt = now
 	}
 
 	/** A request that was counted did not leave. */
-	giveBack(target: TargetName): void {
+	refund(target: TargetName): void {
 		const bucket = this.buckets.get(target)
 		if (bucket) bucket.tokens++
 	}
 
 	/** The part of this box in the rate. */
-	shareOf(target: TargetName, rate: FleetRate, now: Millis): RateShare {
+	shareOf(target: TargetName, rate: FleetRateLimit, now: Millis): RateLimitShare {
 		const { perSecond, tokens } = this.bucket(target, rate, now)
 		return { perSecond, tokens }
 	}
@@ -113,20 +113,24 @@
 	}
 
 	/** The bucket of a target, filled up to now. */
-	private bucket(target: TargetName, rate: FleetRate, now: Millis): Bucket {
+	private bucket(target: TargetName, rate: FleetRateLimit, now: Millis): TokenBucket {
 		const bucket = this.buckets.get(target) ?? newBucket(now)
 		this.buckets.set(target, bucket)
-		const division = rate.divide(this.options.boxes().length)
-		this.takeDivision(target, bucket, division)
+		const division = rate.allocate(this.options.boxes().length)
+		this.updateAllocation(target, bucket, division)
 		bucket.perSecond = bucket.isSender ? division.perSecond : 0
-		const filled = bucket.tokens + ((now - bucket.filledAt) / SECOND_MS) * bucket.perSecond
+		const filled = bucket.tokens + ((now - bucket.refilledAt) / SECOND_MS) * bucket.perSecond
 		bucket.tokens = bucket.isSender ? Math.min(division.burst, filled) : 0
-		bucket.filledAt = now
+		bucket.refilledAt = now
 		return bucket
 	}
 
 	/** Finds out whether this box is a sender, where the boxes or the number of senders changed. */
-	private takeDivision(target: TargetName, bucket: Bucket, division: RateDivision): void {
+	private updateAllocation(
+		target: TargetName,
+		bucket: TokenBucket,
+		division: RateAllocation,
+	): void {
 		const boxes = this.options.boxes()
 		const { isSpaced, senders } = division
 		if (bucket.boxes === boxes && bucket.senders === senders) return
@@ -138,21 +142,25 @@
 	}
 
 	/** When a box that may not send tries one request. */
-	private trialAt(target: TargetName, { sentAt }: Bucket, { trial }: FleetRate): Millis {
+	private probeAt(
+		target: TargetName,
+		{ lastSentAt: sentAt }: TokenBucket,
+		{ probe: trial }: FleetRateLimit,
+	): Millis {
 		if (!trial) return Infinity
 		const part = fnv1a(`${target}\u0000${this.options.self}`) / HASH_RANGE
-		return Math.max(trial.dueAt, sentAt) + part * trial.spreadMs
+		return Math.max(trial.dueAt, sentAt) + part * trial.jitterMs
 	}
 }
 
-function newBucket(now: Millis): Bucket {
+function newBucket(now: Millis): TokenBucket {
 	return {
 		isSender: false,
 		perSecond: 0,
 		boxes: [],
 		senders: 0,
 		tokens: 0,
-		filledAt: now,
-		sentAt: Number.NEGATIVE_INFINITY,
+		refilledAt: now,
+		lastSentAt: Number.NEGATIVE_INFINITY,
 	}
 }
--- a/packages/core/src/lib/placement/Place.ts
+++ b/packages/core/src/lib/placement/Placement.ts
@@ -1,27 +1,27 @@
 import type { ServiceName, TargetName, ZoneName } from '../ids.js'
-import type { StatedWork } from '../traffic/StatedWork.js'
+import type { DeclaredWork } from '../traffic/DeclaredWork.js'
 import type { Millis } from '../units.js'
 import type { PlacementCost } from './placementCost.js'
 import type { TargetEntry } from './TargetEntry.js'
-import type { TargetLife } from './TargetLife.js'
+import type { TargetIncarnation } from './TargetIncarnation.js'
 
 /** A request that needs a target. @public */
-export interface PlaceQuery {
+export interface PlacementQuery {
 	readonly service: ServiceName
 	readonly zone: ZoneName
-	readonly work: StatedWork | undefined
+	readonly work: DeclaredWork | undefined
 	/** Lives of targets that this request was sent to before. */
-	readonly tried: ReadonlySet<TargetLife>
+	readonly tried: ReadonlySet<TargetIncarnation>
 	/** Targets that can't take another connection from this box. */
 	readonly isFull: (target: TargetName) => boolean
 	/** False where the request may not run in a zone. */
 	readonly mayRunIn: (zone: ZoneName) => boolean
 	/** True where this box holds a connection to the target that nothing uses. */
-	readonly isConnected: (target: TargetName) => boolean
+	readonly hasIdleConnection: (target: TargetName) => boolean
 }
 
 /** The place chosen, with what decided it. @public */
-export interface Place {
+export interface Placement {
 	readonly target: TargetEntry
 	readonly cost: PlacementCost
 	/** Targets that could have been chosen. */
--- a/packages/core/src/lib/placement/PromptIndex.ts
+++ b/packages/core/src/lib/placement/PrefixCacheIndex.ts
@@ -1,43 +1,43 @@
-import type { PromptPart } from '../traffic/StatedWork.js'
+import type { PromptPart } from '../traffic/DeclaredWork.js'
 
 /** Tokens that are remembered of a target, as a part of nothing it said: a bound on memory only. */
-const MOST_PARTS = 4_000
+const MAX_CACHED_PREFIXES = 4_000
 
 /**
  * What this box believes that one target keeps of prompts: the parts of requests that it sent there,
  * the longest unused forgotten first. A part counts only with all parts before it.
  */
-export class PromptIndex {
-	private readonly kept = new Set<string>()
+export class PrefixCacheIndex {
+	private readonly cached = new Set<string>()
 
-	note(chains: readonly string[]): void {
+	record(chains: readonly string[]): void {
 		for (const chain of chains) {
-			this.kept.delete(chain)
-			this.kept.add(chain)
+			this.cached.delete(chain)
+			this.cached.add(chain)
 		}
-		this.trim()
+		this.evict()
 	}
 
 	/** Tokens at the start of the prompt that the target is believed to keep. */
-	keptTokens(chains: readonly string[], parts: readonly PromptPart[]): number {
+	cachedTokens(chains: readonly string[], parts: readonly PromptPart[]): number {
 		let tokens = 0
 		for (let i = 0; i < chains.length; i++) {
-			if (!this.kept.has(chains[i] ?? '')) return tokens
+			if (!this.cached.has(chains[i] ?? '')) return tokens
 			tokens += parts[i]?.tokens ?? 0
 		}
 		return tokens
 	}
 
-	private trim(): void {
-		for (const oldest of this.kept) {
-			if (this.kept.size <= MOST_PARTS) return
-			this.kept.delete(oldest)
+	private evict(): void {
+		for (const oldest of this.cached) {
+			if (this.cached.size <= MAX_CACHED_PREFIXES) return
+			this.cached.delete(oldest)
 		}
 	}
 }
 
 /** A name for each part together with all parts before it. */
-export function promptChains(parts: readonly PromptPart[]): string[] {
+export function promptPrefixKeys(parts: readonly PromptPart[]): string[] {
 	let chain = ''
 	return parts.map((part) => (chain = `${chain}/${part.id}`))
 }
--- a/packages/core/src/lib/placement/TargetAdmission.ts
+++ b/packages/core/src/lib/placement/TargetAdmission.ts
@@ -1,9 +1,13 @@
 import type { ServiceName, ZoneName } from '../ids.js'
 import type { Millis } from '../units.js'
-import type { ColdStart } from './coldRate.js'
-import type { RateView } from './RateView.js'
+import type { ColdStart } from './coldRateLimit.js'
+import type { RateLimitStatus } from './RateLimitStatus.js'
 import type { TargetEntry } from './TargetEntry.js'
-import { TargetRates, type RateKind, type TargetRatesOptions } from './TargetRates.js'
+import {
+	TargetRateLimits,
+	type RateLimitKind,
+	type TargetRateLimitsOptions,
+} from './TargetRateLimits.js'
 import type { TargetState } from './TargetState.js'
 import { ZoneCordons, type CordonChanges, type ZoneCordon } from './ZoneCordons.js'
 
@@ -32,18 +36,18 @@
  * 3 s then serves 15 in 100 plain requests of a day of 15 s, and 58 with this (`backoffModel.test.ts`); 34 and 53 of
  * long ones.
  */
-const REOPENING_MS: Millis = 1_000
+const DEFAULT_REOPENING_MS: Millis = 1_000
 
 /** Rates that keep a request away, of which its log line tells. */
-const MOST_HELD_BACK = 3
+const MAX_REPORTED_RATE_LIMITS = 3
 
 const SECOND_MS = 1_000
 
 /** What a {@link TargetAdmission} works with. */
 export interface AdmissionOptions {
 	/** Undefined: rates of cold targets, and those that targets name, do not count. */
-	readonly rates?: TargetRatesOptions
-	/** See {@link REOPENING_MS}. */
+	readonly rateLimits?: TargetRateLimitsOptions
+	/** See {@link DEFAULT_REOPENING_MS}. */
 	readonly reopeningMs?: Millis
 }
 
@@ -55,11 +59,12 @@
 	private readonly cordons = new ZoneCordons()
 	private coldStarts: ReadonlyMap<ServiceName, ColdStart> = new Map()
 
-	private readonly rates: TargetRates | undefined
+	private readonly rateLimits: TargetRateLimits | undefined
 	private readonly reopeningMs: Millis
 
-	constructor({ rates, reopeningMs = REOPENING_MS }: AdmissionOptions) {
-		this.rates = rates && new TargetRates(rates, (service) => this.coldStarts.get(service))
+	constructor({ rateLimits: rates, reopeningMs = DEFAULT_REOPENING_MS }: AdmissionOptions) {
+		this.rateLimits =
+			rates && new TargetRateLimits(rates, (service) => this.coldStarts.get(service))
 		this.reopeningMs = reopeningMs
 	}
 
@@ -107,57 +112,63 @@
 
 	/** A backoff ended shortly before, and the request that shows whether the target takes work again is under way. */
 	private isReopening(target: TargetState, now: Millis): boolean {
-		return now - target.notice.backoffUntil < this.reopeningMs && target.awaitsAnswer
+		return now - target.notice.backoffUntil < this.reopeningMs && target.isAwaitingFirstByte
 	}
 
 	/** True where the target takes one more request of this box now. */
 	admits(target: TargetState, now: Millis): boolean {
 		return (
-			this.isOpen(target, now) && !this.isReopening(target, now) && this.bearsOneMore(target, now)
+			this.isOpen(target, now) &&
+			!this.isReopening(target, now) &&
+			this.isWithinRateLimits(target, now)
 		)
 	}
 
 	/** True where each rate that holds for the target lets one more request by that is not counted for it yet. */
-	bearsOneMore(target: TargetState, now: Millis, counted: readonly RateKind[] = []): boolean {
-		return this.rates?.bearsOneMore(target, now, counted) ?? true
+	isWithinRateLimits(
+		target: TargetState,
+		now: Millis,
+		counted: readonly RateLimitKind[] = [],
+	): boolean {
+		return this.rateLimits?.allowsRequest(target, now, counted) ?? true
 	}
 
 	/** Counts a request that goes to the target now for each rate that holds, once. */
-	count(target: TargetState, now: Millis, counted: RateKind[]): void {
-		this.rates?.count(target, now, counted)
+	countRequest(target: TargetState, now: Millis, counted: RateLimitKind[]): void {
+		this.rateLimits?.countRequest(target, now, counted)
 	}
 
 	/** A request that was counted did not leave. */
-	giveBack({ entry }: TargetState, counted: RateKind[]): void {
-		this.rates?.giveBack(entry, counted)
+	refund({ entry }: TargetState, counted: RateLimitKind[]): void {
+		this.rateLimits?.refund(entry, counted)
 	}
 
 	/** The rate that a target named, and the part of this box in it; undefined where there is none. */
-	rateOf(target: TargetState, now: Millis): RateView | undefined {
-		return this.rates?.viewOf(target, now)
+	rateLimitStatus(target: TargetState, now: Millis): RateLimitStatus | undefined {
+		return this.rateLimits?.statusOf(target, now)
 	}
 
 	/** Rates that targets named and that keep requests of this box away now, some of them at most. */
-	heldBack(targets: readonly TargetState[], now: Millis): readonly RateView[] {
-		const views: RateView[] = []
+	exhaustedRateLimits(targets: readonly TargetState[], now: Millis): readonly RateLimitStatus[] {
+		const views: RateLimitStatus[] = []
 		for (const target of targets) {
-			if (views.length === MOST_HELD_BACK) break
+			if (views.length === MAX_REPORTED_RATE_LIMITS) break
 			if (!target.notice.rate || !this.isOpen(target, now)) continue
-			if (this.bearsOneMore(target, now)) continue
-			const view = this.rateOf(target, now)
+			if (this.isWithinRateLimits(target, now)) continue
+			const view = this.rateLimitStatus(target, now)
 			if (view) views.push(view)
 		}
 		return views
 	}
 
 	/** The target names no rate any more. */
-	forgetNamedRate(target: TargetEntry): void {
-		this.rates?.forgetNamed(target)
+	forgetAdvertisedLimit(target: TargetEntry): void {
+		this.rateLimits?.forgetAdvertised(target)
 	}
 
 	/** Forgets a target that is gone, or started again. */
 	forget(target: TargetEntry): void {
-		this.rates?.forget(target)
+		this.rateLimits?.forget(target)
 	}
 
 	/** Why none of the targets of a service, in zones where a request may run, takes new work; undefined where one does. */
@@ -175,23 +186,23 @@
 		const opensAt = inService.map((target) => this.opensAt(target, now))
 		const opensInMs = Math.min(...opensAt) - now
 		return {
-			cause: this.causeOf(inService, now),
-			opensInMs: Math.min(opensInMs, this.turnMs(inService, now)),
+			cause: this.closedCauseOf(inService, now),
+			opensInMs: Math.min(opensInMs, this.fleetSendIntervalMs(inService, now)),
 		}
 	}
 
 	/** When a target takes work again, as far as it is known. */
 	private opensAt(target: TargetState, now: Millis): Millis {
-		const namedAt = this.rates?.opensAt(target, now) ?? now
+		const namedAt = this.rateLimits?.nextSendAt(target, now) ?? now
 		return Math.max(now, target.coldUntil, target.notice.backoffUntil, namedAt)
 	}
 
-	private causeOf(inService: readonly TargetState[], now: Millis): ClosedCause {
+	private closedCauseOf(inService: readonly TargetState[], now: Millis): ClosedCause {
 		const isBackoff = inService.every(
 			(target) => !this.isOpen(target, now) || this.isReopening(target, now),
 		)
 		if (isBackoff) return 'backoff'
-		return this.heldBack(inService, now).length > 0 ? 'rate' : 'cold'
+		return this.exhaustedRateLimits(inService, now).length > 0 ? 'rate' : 'cold'
 	}
 
 	/**
@@ -200,7 +211,7 @@
 	 * 69 in 100 are answered in time where 78 are with this, at 0.8 of what six targets take of seven boxes
 	 * (`rateReturnModel.test.ts`). A target in a backoff, or cold, takes no turn before that ends.
 	 */
-	private turnMs(targets: readonly TargetState[], now: Millis): Millis {
+	private fleetSendIntervalMs(targets: readonly TargetState[], now: Millis): Millis {
 		let perSecond = 0
 		for (const target of targets) {
 			if (!this.isOpen(target, now) || target.coldUntil > now) continue
--- a/packages/core/src/lib/placement/TargetEntry.ts
+++ b/packages/core/src/lib/placement/TargetEntry.ts
@@ -1,10 +1,10 @@
 import type { ServiceName, ZoneName } from '../ids.js'
 import type { StoreRevision } from '../StoreRevision.js'
 import type { Millis } from '../units.js'
-import type { TargetStart } from './TargetLife.js'
+import type { TargetIdentity } from './TargetIncarnation.js'
 
 /** A target as the list of targets tells it. It may start again under its name. @public */
-export interface TargetEntry extends TargetStart {
+export interface TargetEntry extends TargetIdentity {
 	readonly service: ServiceName
 	/** IP number and port. Another target may get it once this one is gone. */
 	readonly address: string
--- a/packages/core/src/lib/placement/TargetNotices.test.ts
+++ b/packages/core/src/lib/placement/TargetNotices.test.ts
@@ -1,37 +1,37 @@
 import * as fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { brandId, type ZoneName } from '../ids.js'
-import type { StatedWork } from '../traffic/StatedWork.js'
+import type { DeclaredWork } from '../traffic/DeclaredWork.js'
 import type { AttemptHandle } from './AttemptHandle.js'
-import { TargetBoard } from './TargetBoard.js'
+import { TargetRegistry } from './TargetRegistry.js'
 import type { TargetEntry } from './TargetEntry.js'
-import { lifeOf } from './TargetLife.js'
+import { incarnationOf } from './TargetIncarnation.js'
 import { SERVICE, ZONE, entry, query } from './testEntries.js'
 
 const WALL = 1_800_000_000_000
 const MINUTE_MS = 60_000
 
-function boardOf(...entries: TargetEntry[]): TargetBoard {
-	const board = new TargetBoard()
+function boardOf(...entries: TargetEntry[]): TargetRegistry {
+	const board = new TargetRegistry()
 	board.replace(entries, 0, WALL)
 	return board
 }
 
 /** Sends a request to the target that the board chooses, which must be this one. */
-function sendTo(board: TargetBoard, name: string, now: number): AttemptHandle {
+function sendTo(board: TargetRegistry, name: string, now: number): AttemptHandle {
 	const place = board.choose(query(), now)
 	expect(place?.target.name).toBe(name)
-	return board.begin(place!, undefined, now)
+	return board.beginAttempt(place!, undefined, now)
 }
 
 /** The same, and the first byte of its answer has come: what the target says stands there. */
-function answeredBy(board: TargetBoard, name: string, now: number): AttemptHandle {
+function answeredBy(board: TargetRegistry, name: string, now: number): AttemptHandle {
 	const handle = sendTo(board, name, now)
 	handle.noteByte(now)
 	return handle
 }
 
-function chosen(board: TargetBoard, now: number): string | undefined {
+function chosen(board: TargetRegistry, now: number): string | undefined {
 	return board.choose(query(), now)?.target.name
 }
 
@@ -63,7 +63,7 @@
 	it('gets none when its entry runs out and is back as it was before', () => {
 		const board = boardOf(entry('a'))
 		answeredBy(board, 'a', 0).noteLeaving(10)
-		const { gone } = board.replace([], 20)
+		const { removed: gone } = board.replace([], 20)
 		// A planned end: nobody is to blame for what breaks off there.
 		expect(gone.map(({ leaving }) => leaving)).toEqual([true])
 		board.replace([entry('a', { revision: { era: 1, number: 9 } })], 5 * MINUTE_MS)
@@ -84,7 +84,7 @@
 		answeredBy(board, 'a', 0).noteLeaving(10)
 		board.replace([entry('a', { bornAt: WALL + 20 })], 30, WALL + 30)
 		expect(chosen(board, 30)).toBe('a')
-		expect(board.isListed(lifeName('a', WALL + 20), entry('a').name)).toBe(true)
+		expect(board.isAvailable(lifeName('a', WALL + 20), entry('a').name)).toBe(true)
 	})
 
 	it('gets none where the new life said it before its entry was read', () => {
@@ -111,11 +111,11 @@
 		const board = boardOf(entry('a'), entry('bb'), entry('ccc'))
 		const work = promptOf('session')
 		const home = board.choose(query({ work }), 0)!
-		board.begin(home, work, 0).noteLeaving(10)
+		board.beginAttempt(home, work, 0).noteLeaving(10)
 		const other = board.choose(query({ work }), 20)
 		expect(other?.target.name).not.toBe(home.target.name)
 		// The whole shared part is believed to be kept at the new home, as on all boxes.
-		expect(other?.cost.unreadTokens).toBeLessThan(work.inputTokens)
+		expect(other?.cost.prefillTokens).toBeLessThan(work.inputTokens)
 	})
 })
 
@@ -171,7 +171,7 @@
 		const board = boardOf(entry('a'), entry('bb'), entry('ccc'))
 		const work = promptOf('session')
 		const home = board.choose(query({ work }), 0)!
-		const handle = board.begin(home, undefined, 0)
+		const handle = board.beginAttempt(home, undefined, 0)
 		handle.noteByte(0)
 		handle.noteBackoff(1_000, 0)
 		expect(board.choose(query({ work }), 10)?.target.name).not.toBe(home.target.name)
@@ -237,10 +237,10 @@
 				const board = boardOf(entryOf(0), entryOf(1), entryOf(2))
 				let listed = [0, 1, 2]
 				const handleOf = (i: number): AttemptHandle => {
-					const handle = board.begin(
+					const handle = board.beginAttempt(
 						{
 							target: entryOf(i),
-							cost: { ms: 0, expectedMs: 1, unreadTokens: 0 },
+							cost: { ms: 0, expectedMs: 1, prefillTokens: 0 },
 							candidates: 1,
 							loadAgeMs: -1,
 						},
@@ -287,7 +287,7 @@
 	})
 })
 
-function promptOf(session: string): StatedWork {
+function promptOf(session: string): DeclaredWork {
 	const parts = [
 		{ id: session, tokens: 8_000 },
 		{ id: `${session}-own`, tokens: 1_000 },
@@ -296,5 +296,5 @@
 }
 
 function lifeName(name: string, bornAt: number) {
-	return lifeOf({ name: entry(name).name, bornAt })
+	return incarnationOf({ name: entry(name).name, bornAt })
 }
--- a/packages/core/src/lib/placement/TargetRates.test.ts
+++ b/packages/core/src/lib/placement/TargetRateLimits.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest'
 import { brandId, type BoxName } from '../ids.js'
 import type { AttemptHandle } from './AttemptHandle.js'
-import { TargetBoard } from './TargetBoard.js'
+import { TargetRegistry } from './TargetRegistry.js'
 import type { TargetEntry } from './TargetEntry.js'
 import { SERVICE, entry, query } from './testEntries.js'
 
@@ -12,31 +12,31 @@
 const COLD_MS = 3_000
 
 /** The board of a fleet of one box: it has the whole of each rate. */
-function boardOf(...entries: TargetEntry[]): TargetBoard {
+function boardOf(...entries: TargetEntry[]): TargetRegistry {
 	const coldLimits = { overrun: 1.5, tolerance: 5 }
 	const rates = { self: BOX, boxes: () => BOXES, isSettled: () => true, coldLimits }
-	const board = new TargetBoard({ rates })
+	const board = new TargetRegistry({ rateLimits: rates })
 	board.replace(entries, 0, WALL)
 	return board
 }
 
-function begin(board: TargetBoard, name: string, now: number): AttemptHandle {
+function begin(board: TargetRegistry, name: string, now: number): AttemptHandle {
 	const place = board.choose(query(), now)
 	expect(place?.target.name).toBe(name)
-	return board.begin(place!, undefined, now)
+	return board.beginAttempt(place!, undefined, now)
 }
 
-function chosen(board: TargetBoard, now: number): string | undefined {
+function chosen(board: TargetRegistry, now: number): string | undefined {
 	return board.choose(query(), now)?.target.name
 }
 
 /** Requests that the board sends in a time, one at each step where it may. */
-function sentIn(board: TargetBoard, from: number, until: number): number {
+function sentIn(board: TargetRegistry, from: number, until: number): number {
 	let sent = 0
 	for (let now = from; now < until; now += 10) {
 		const place = board.choose(query(), now)
 		if (!place) continue
-		board.begin(place, undefined, now).end('good', now)
+		board.beginAttempt(place, undefined, now).end('good', now)
 		sent++
 	}
 	return sent
@@ -168,14 +168,14 @@
 	it('is shown to operators, with what this box has of it', () => {
 		const board = boardOf(entry('a'))
 		begin(board, 'a', 0).noteRate(2, 0)
-		const [row] = board.noticedTargets(250)
+		const [row] = board.noticeStatuses(250)
 		expect(row?.rate).toEqual({
 			target: 'a',
 			perSecond: 2,
 			ageMs: 250,
 			share: { perSecond: 2, tokens: 0 },
 		})
-		expect(board.heldBack(SERVICE, 250).map(({ target }) => target)).toEqual(['a'])
+		expect(board.exhaustedRateLimits(SERVICE, 250).map(({ target }) => target)).toEqual(['a'])
 	})
 })
 
@@ -196,7 +196,7 @@
 				const board = boardOf(entry('a'))
 				board.noteRate(target, 1, -1)
 				for (const { perSecond, saidAt } of words) board.noteRate(target, perSecond, saidAt)
-				const [row] = board.noticedTargets(1_000)
+				const [row] = board.noticeStatuses(1_000)
 				expect(row?.rate?.perSecond).toBe(latest.perSecond)
 			}),
 			{ seed: 49, numRuns: 500 },
--- a/packages/core/src/lib/placement/TargetBoard.test.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.test.ts
@@ -1,17 +1,17 @@
 import { describe, expect, it } from 'vitest'
 import { brandId, type BoxName, type TargetName, type ZoneName } from '../ids.js'
-import type { StatedWork } from '../traffic/StatedWork.js'
-import type { ColdStart } from './coldRate.js'
-import { TargetBoard } from './TargetBoard.js'
+import type { DeclaredWork } from '../traffic/DeclaredWork.js'
+import type { ColdStart } from './coldRateLimit.js'
+import { TargetRegistry } from './TargetRegistry.js'
 import type { TargetEntry } from './TargetEntry.js'
-import { lifeOf, type TargetLife } from './TargetLife.js'
+import { incarnationOf, type TargetIncarnation } from './TargetIncarnation.js'
 import { SERVICE, ZONE, entry, query } from './testEntries.js'
 
 const OTHER_ZONE = brandId<ZoneName>('z2')
 const BOX = brandId<BoxName>('box')
 const COLD_START: ColdStart = { ms: 3_000, requestsPerSecond: 7.7 }
 
-function prompt(session: string, own: string): StatedWork {
+function prompt(session: string, own: string): DeclaredWork {
 	return {
 		inputTokens: 9_000,
 		maxOutputTokens: 50,
@@ -23,22 +23,22 @@
 	}
 }
 
-function boardOf(...entries: TargetEntry[]): TargetBoard {
-	const board = new TargetBoard()
+function boardOf(...entries: TargetEntry[]): TargetRegistry {
+	const board = new TargetRegistry()
 	board.replace(entries, 0)
 	return board
 }
 
-function lives(name: string): ReadonlySet<TargetLife> {
-	return new Set([brandId<TargetLife>(name)])
+function lives(name: string): ReadonlySet<TargetIncarnation> {
+	return new Set([brandId<TargetIncarnation>(name)])
 }
 
 /** The board of a fleet of one box that spares cold targets. */
-function gatedBoard(): TargetBoard {
+function gatedBoard(): TargetRegistry {
 	const boxes = [BOX]
 	const coldLimits = { overrun: 1.5, tolerance: 5 }
 	const rates = { self: BOX, boxes: () => boxes, isSettled: () => true, coldLimits }
-	const board = new TargetBoard({ rates })
+	const board = new TargetRegistry({ rateLimits: rates })
 	board.setColdStarts(new Map([[SERVICE, COLD_START]]))
 	return board
 }
@@ -48,7 +48,7 @@
 		const board = boardOf(entry('a'), entry('bb', { leaving: true }), entry('ccc'))
 		board.replace([entry('a'), entry('bb', { leaving: true })], 1)
 		expect(board.choose(query(), 1)?.target.name).toBe('a')
-		const tried = new Set([brandId<TargetLife>('a')])
+		const tried = new Set([brandId<TargetIncarnation>('a')])
 		expect(board.choose(query({ tried }), 1)).toBeUndefined()
 		expect(board.choose(query({ isFull: () => true }), 1)).toBeUndefined()
 	})
@@ -57,11 +57,11 @@
 		// Without work of its own, the target that turns all away looks cheaper than one that works.
 		const board = boardOf(entry('a'), entry('bb'))
 		const working = Array.from({ length: 4 }, () => board.choose(query({ tried: lives('a') }), 0)!)
-		for (const place of working) board.begin(place, undefined, 0)
+		for (const place of working) board.beginAttempt(place, undefined, 0)
 		for (let i = 0; i < 3; i++) {
 			const place = board.choose(query(), i)
 			if (place?.target.name !== 'a') break
-			board.begin(place, undefined, i).end('full', i)
+			board.beginAttempt(place, undefined, i).end('full', i)
 		}
 		expect(board.choose(query(), 10)?.target.name).toBe('bb')
 		expect(board.choose(query(), 60_000)?.target.name).toBe('a')
@@ -70,9 +70,9 @@
 	it('tells what joined, leaves and is gone', () => {
 		const board = boardOf(entry('a'), entry('bb'))
 		const changes = board.replace([entry('a', { leaving: true }), entry('ccc')], 1)
-		expect(changes.joined.map((target) => target.name)).toEqual(['ccc'])
+		expect(changes.added.map((target) => target.name)).toEqual(['ccc'])
 		expect(changes.leaving.map((target) => target.name)).toEqual(['a'])
-		expect(changes.gone.map((target) => target.name)).toEqual(['bb'])
+		expect(changes.removed.map((target) => target.name)).toEqual(['bb'])
 	})
 
 	it('sends prompts of one session to one target, on every box alike', () => {
@@ -89,7 +89,7 @@
 		const board = boardOf(entry('a'), entry('bb'))
 		const work = prompt('session', 'own')
 		const home = board.choose(query({ work }), 0)
-		const busy = [{ life: lifeOf(home!.target), unreadTokens: 90_000, open: 10 }]
+		const busy = [{ life: incarnationOf(home!.target), unreadTokens: 90_000, open: 10 }]
 		board.notePeerWork(brandId<BoxName>('other'), busy, 0)
 		expect(board.choose(query({ work }), 1)?.target.name).not.toBe(home?.target.name)
 		expect(board.choose(query({ work }), 5_000)?.target.name).toBe(home?.target.name)
@@ -99,7 +99,7 @@
 		const board = boardOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
 		const place = board.choose(query(), 0)
 		expect(place?.target.name).toBe('a')
-		board.begin(place!, undefined, 0).end('unreachable', 0)
+		board.beginAttempt(place!, undefined, 0).end('unreachable', 0)
 		expect(board.choose(query(), 1)?.target.name).toBe('bb')
 		expect(board.choose(query(), 60_000)?.target.name).toBe('a')
 	})
@@ -114,16 +114,16 @@
 	it('prefers a target that it holds a connection to, where nothing else speaks against it', () => {
 		const board = boardOf(entry('a'), entry('bb'))
 		const isConnected = (target: TargetName): boolean => target === 'bb'
-		expect(board.choose(query({ isConnected }), 0)?.target.name).toBe('bb')
-		const busy = [{ life: brandId<TargetLife>('bb'), unreadTokens: 0, open: 8 }]
+		expect(board.choose(query({ hasIdleConnection: isConnected }), 0)?.target.name).toBe('bb')
+		const busy = [{ life: brandId<TargetIncarnation>('bb'), unreadTokens: 0, open: 8 }]
 		board.notePeerWork(brandId<BoxName>('other'), busy, 0)
-		expect(board.choose(query({ isConnected }), 1)?.target.name).toBe('a')
+		expect(board.choose(query({ hasIdleConnection: isConnected }), 1)?.target.name).toBe('a')
 	})
 
 	it('turns away from a target that stays silent', () => {
 		const board = boardOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
 		const place = board.choose(query(), 0)
-		const attempt = board.begin(place!, undefined, 0)
+		const attempt = board.beginAttempt(place!, undefined, 0)
 		expect(board.choose(query(), 5_000)?.target.name).toBe('bb')
 		attempt.noteByte(5_000)
 		attempt.end('good', 5_000)
@@ -135,8 +135,8 @@
 		const board = boardOf(entry('a'), entry('bb'))
 		for (let i = 0; i < 10; i++) {
 			for (const name of ['a', 'bb']) {
-				const tried = new Set([brandId<TargetLife>(name === 'a' ? 'bb' : 'a')])
-				board.begin(board.choose(query({ tried }), i)!, undefined, i).end('failed', i)
+				const tried = new Set([brandId<TargetIncarnation>(name === 'a' ? 'bb' : 'a')])
+				board.beginAttempt(board.choose(query({ tried }), i)!, undefined, i).end('failed', i)
 			}
 		}
 		const even = board.choose(query(), 10)!
@@ -144,16 +144,16 @@
 	})
 
 	it('sums the work of the boxes that are asked for, while their word is fresh', () => {
-		const board = new TargetBoard()
+		const board = new TargetRegistry()
 		board.replace([entry('a')], 0)
 		const row = (open: number) => [
-			{ life: brandId<TargetLife>('a'), unreadTokens: 100 * open, open },
+			{ life: brandId<TargetIncarnation>('a'), unreadTokens: 100 * open, open },
 		]
 		board.notePeerWork(brandId<BoxName>('box-1'), row(1), 0)
 		board.notePeerWork(brandId<BoxName>('box-2'), row(2), 0)
-		expect(board.workOf(() => true, 10)).toEqual(row(3))
-		expect(board.workOf((box) => box === 'box-2', 10)).toEqual(row(2))
-		expect(board.workOf(() => true, 5_000)).toEqual([])
+		expect(board.openWork(() => true, 10)).toEqual(row(3))
+		expect(board.openWork((box) => box === 'box-2', 10)).toEqual(row(2))
+		expect(board.openWork(() => true, 5_000)).toEqual([])
 	})
 
 	it('sends nothing into a cordoned zone, and says why a service is closed', () => {
@@ -177,7 +177,7 @@
 
 	it('holds a chosen request back whose target was cordoned, left or went before it was sent', () => {
 		const board = boardOf(entry('a'))
-		const attempt = board.begin(board.choose(query(), 0)!, undefined, 0)
+		const attempt = board.beginAttempt(board.choose(query(), 0)!, undefined, 0)
 		expect(attempt.maySend(1)).toBe(true)
 		board.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 2)
 		expect(attempt.maySend(3)).toBe(false)
@@ -207,7 +207,7 @@
 		expect(board.closedCause(SERVICE, 1_000)).toEqual({ cause: 'cold', opensInMs: 2_000 })
 		board.replace([entry('a', { revision: { era: 1, number: 3 } })], 2_000)
 		expect(sentAtOnce(board, 2_000)).toBe(50)
-		board.begin(board.choose(query(), 2_000)!, undefined, 2_000).noteCold(500, 2_100)
+		board.beginAttempt(board.choose(query(), 2_000)!, undefined, 2_000).noteCold(500, 2_100)
 		expect(sentAtOnce(board, 2_100)).toBeLessThan(6)
 		expect(sentAtOnce(board, 2_600)).toBe(50)
 	})
@@ -234,8 +234,8 @@
 			const board = boardOf(first)
 			const changes = board.replace([second], 10)
 			expect(changes.restarted).toEqual([first])
-			expect(changes.joined).toEqual([second])
-			expect(changes.gone).toEqual([])
+			expect(changes.added).toEqual([second])
+			expect(changes.removed).toEqual([])
 			expect(board.choose(query(), 10)?.target.address).toBe('10.0.0.9:9')
 		})
 
@@ -243,10 +243,10 @@
 			const work = prompt('session', 'own')
 			const board = boardOf(first)
 			const before = board.choose(query({ work }), 0)!
-			board.begin(before, work, 0)
-			board.begin(before, undefined, 0).end('unreachable', 0)
-			board.begin(before, undefined, 0).noteLoad({ running: 8, waiting: 90, slots: 8 }, 0)
-			const told = [{ life: lifeOf(first), unreadTokens: 90_000, open: 30 }]
+			board.beginAttempt(before, work, 0)
+			board.beginAttempt(before, undefined, 0).end('unreachable', 0)
+			board.beginAttempt(before, undefined, 0).noteLoad({ running: 8, waiting: 90, slots: 8 }, 0)
+			const told = [{ life: incarnationOf(first), unreadTokens: 90_000, open: 30 }]
 			board.notePeerWork(BOX, told, 0)
 			board.replace([{ ...first, leaving: true, revision: { era: 1, number: 6 } }], 1)
 			board.replace([second], 2)
@@ -254,12 +254,12 @@
 			board.notePeerWork(BOX, told, 2)
 			const fresh = boardOf(second).choose(query({ work }), 2)
 			expect(board.choose(query({ work }), 2)).toEqual(fresh)
-			expect(board.workOf(() => true, 2)).toEqual([])
+			expect(board.openWork(() => true, 2)).toEqual([])
 		})
 
 		it('may be asked again by a request that its earlier life failed', () => {
 			const board = boardOf(first)
-			const tried = new Set([lifeOf(first)])
+			const tried = new Set([incarnationOf(first)])
 			expect(board.choose(query({ tried }), 0)).toBeUndefined()
 			board.replace([second], 1)
 			expect(board.choose(query({ tried }), 1)?.target.bornAt).toBe(9_000)
@@ -267,7 +267,7 @@
 
 		it('gets no request that was meant for its earlier life', () => {
 			const board = boardOf(first)
-			const handle = board.begin(board.choose(query(), 0)!, undefined, 0)
+			const handle = board.beginAttempt(board.choose(query(), 0)!, undefined, 0)
 			expect(handle.maySend(1)).toBe(true)
 			board.replace([second], 2)
 			expect(handle.maySend(3)).toBe(false)
@@ -300,11 +300,11 @@
 })
 
 /** Requests that the board would send one after the other at one moment; 50 at most. */
-function sentAtOnce(board: TargetBoard, now: number): number {
+function sentAtOnce(board: TargetRegistry, now: number): number {
 	for (let sent = 0; sent < 50; sent++) {
 		const place = board.choose(query(), now)
 		if (!place) return sent
-		board.begin(place, undefined, now)
+		board.beginAttempt(place, undefined, now)
 	}
 	return 50
 }
--- a/packages/core/src/lib/placement/TargetBoard.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.ts
@@ -1,39 +1,44 @@
 import { rendezvousFirst } from '../identity/rendezvous.js'
 import type { BoxName, ServiceName, TargetName, ZoneName } from '../ids.js'
-import { worstCaseTokens, type StatedWork } from '../traffic/StatedWork.js'
+import { maxTotalTokens, type DeclaredWork } from '../traffic/DeclaredWork.js'
 import type { Millis } from '../units.js'
 import type { AttemptHandle } from './AttemptHandle.js'
-import type { ColdStart } from './coldRate.js'
-import type { NoticedTarget } from './NoticedTarget.js'
-import { noticedTargetOf } from './noticedTargetOf.js'
-import type { Place, PlaceQuery } from './Place.js'
+import type { ColdStart } from './coldRateLimit.js'
+import type { TargetNoticeStatus } from './TargetNoticeStatus.js'
+import { targetNoticeStatusOf } from './targetNoticeStatusOf.js'
+import type { Placement, PlacementQuery } from './Placement.js'
 import {
-	isFreshWork,
+	isPeerWorkFresh,
 	placementCost,
 	type PlacementCost,
 	type PlacementRequest,
 } from './placementCost.js'
-import { promptChains } from './PromptIndex.js'
+import { promptPrefixKeys } from './PrefixCacheIndex.js'
 import { TargetAdmission, type AdmissionOptions, type ClosedService } from './TargetAdmission.js'
-import type { RateView } from './RateView.js'
-import { ServiceTimes } from './ServiceTimes.js'
+import type { RateLimitStatus } from './RateLimitStatus.js'
+import { ServiceLatencies } from './ServiceLatencies.js'
 import type { TargetChanges } from './TargetChanges.js'
-import type { RateKind } from './TargetRates.js'
+import type { RateLimitKind } from './TargetRateLimits.js'
 import type { TargetEntry } from './TargetEntry.js'
-import { isEarlierLife, lifeOf, type TargetLife, type TargetStart } from './TargetLife.js'
+import {
+	isEarlierIncarnation,
+	incarnationOf,
+	type TargetIncarnation,
+	type TargetIdentity,
+} from './TargetIncarnation.js'
 import { TargetNotices, type TargetNotice } from './TargetNotices.js'
 import { TargetState, type OpenAttempt } from './TargetState.js'
 import type { TargetWork } from './TargetWork.js'
 import type { CordonChanges, ZoneCordon } from './ZoneCordons.js'
 
 /** Times are compared only up to here: a long prompt tells more about a target than a short one. */
-const LEAST_EXPECTED_MS = 10
+const MIN_EXPECTED_MS = 10
 
 /** What this box believes about all targets, and the choice among them. @public */
-export class TargetBoard {
+export class TargetRegistry {
 	private readonly targets = new Map<TargetName, TargetState>()
 	private readonly byService = new Map<ServiceName, TargetState[]>()
-	private readonly plainTimes = new ServiceTimes()
+	private readonly plainLatencies = new ServiceLatencies()
 	private readonly admission: TargetAdmission
 	private readonly notices = new TargetNotices()
 
@@ -76,15 +81,15 @@
 	closedCause(
 		service: ServiceName,
 		now: Millis,
-		mayRunIn: PlaceQuery['mayRunIn'] = () => true,
+		mayRunIn: PlacementQuery['mayRunIn'] = () => true,
 	): ClosedService | undefined {
 		const listed = this.byService.get(service) ?? []
 		return this.admission.closedCause(listed, now, mayRunIn)
 	}
 
 	/** Rates that targets of the service named and that keep requests of this box away now, some of them at most. */
-	heldBack(service: ServiceName, now: Millis): readonly RateView[] {
-		return this.admission.heldBack(this.byService.get(service) ?? [], now)
+	exhaustedRateLimits(service: ServiceName, now: Millis): readonly RateLimitStatus[] {
+		return this.admission.exhaustedRateLimits(this.byService.get(service) ?? [], now)
 	}
 
 	/**
@@ -99,8 +104,8 @@
 		for (const entry of entries) {
 			listed.add(entry.name)
 			const known = this.targets.get(entry.name)
-			if (known && isEarlierLife(entry, known.entry)) continue
-			const isRestart = known !== undefined && lifeOf(entry) !== lifeOf(known.entry)
+			if (known && isEarlierIncarnation(entry, known.entry)) continue
+			const isRestart = known !== undefined && incarnationOf(entry) !== incarnationOf(known.entry)
 			if (isRestart) {
 				restarted.push(known.entry)
 				this.admission.forget(known.entry)
@@ -108,7 +113,7 @@
 					this.notices.noteRestart(known.entry, entry, wallTime - entry.bornAt, now)
 			}
 			if (!known || isRestart) {
-				const notice = this.notices.of(lifeOf(entry))
+				const notice = this.notices.of(incarnationOf(entry))
 				this.targets.set(entry.name, new TargetState(entry, now, notice))
 				joined.push(entry)
 				continue
@@ -121,22 +126,22 @@
 			this.targets.delete(entry.name)
 			this.admission.forget(entry)
 		}
-		this.group()
+		this.groupByService()
 		this.pruneNotices(now)
 		const goneEntries = gone.map((state) => ({ ...state.entry, leaving: state.leaving }))
-		return { joined, leaving, gone: goneEntries, restarted }
+		return { added: joined, leaving, removed: goneEntries, restarted }
 	}
 
 	private pruneNotices(now: Millis): void {
 		if (this.notices.isEmpty) return
-		const lives = new Set([...this.targets.values()].map(({ entry }) => lifeOf(entry)))
+		const lives = new Set([...this.targets.values()].map(({ entry }) => incarnationOf(entry)))
 		this.notices.prune((life) => lives.has(life), now)
 	}
 
 	/** Targets that get less work, or none, because of what they said of themselves. */
-	noticedTargets(now: Millis): NoticedTarget[] {
+	noticeStatuses(now: Millis): TargetNoticeStatus[] {
 		return [...this.targets.values()].flatMap((state) => {
-			return noticedTargetOf(state, this.admission.rateOf(state, now), now) ?? []
+			return targetNoticeStatusOf(state, this.admission.rateLimitStatus(state, now), now) ?? []
 		})
 	}
 
@@ -148,18 +153,19 @@
 	 * Work under way by target: that of this box, and what it lately heard of the other boxes that are
 	 * asked for.
 	 */
-	workOf(includes: (box: BoxName) => boolean, now: Millis): TargetWork[] {
+	openWork(includes: (box: BoxName) => boolean, now: Millis): TargetWork[] {
 		const rows: TargetWork[] = []
 		for (const state of this.targets.values()) {
 			let unreadTokens = 0
-			let open = state.open.size
-			for (const attempt of state.open) if (!attempt.answered) unreadTokens += attempt.unreadTokens
+			let open = state.openAttempts.size
+			for (const attempt of state.openAttempts)
+				if (!attempt.hasFirstByte) unreadTokens += attempt.prefillTokens
 			for (const [box, work] of state.peerWork) {
-				if (!includes(box) || !isFreshWork(work, now)) continue
-				unreadTokens += work.unreadTokens
-				open += work.open
+				if (!includes(box) || !isPeerWorkFresh(work, now)) continue
+				unreadTokens += work.prefillTokens
+				open += work.openRequests
 			}
-			if (open > 0) rows.push({ life: lifeOf(state.entry), unreadTokens, open })
+			if (open > 0) rows.push({ life: incarnationOf(state.entry), unreadTokens, open })
 		}
 		return rows
 	}
@@ -168,27 +174,32 @@
 	notePeerWork(box: BoxName, rows: readonly TargetWork[], now: Millis): void {
 		const told = new Map(rows.map((row) => [row.life, row]))
 		for (const state of this.targets.values()) {
-			const row = told.get(lifeOf(state.entry))
-			if (row) state.peerWork.set(box, { unreadTokens: row.unreadTokens, open: row.open, at: now })
+			const row = told.get(incarnationOf(state.entry))
+			if (row)
+				state.peerWork.set(box, {
+					prefillTokens: row.unreadTokens,
+					openRequests: row.open,
+					receivedAt: now,
+				})
 			else state.peerWork.delete(box)
 		}
 	}
 
 	/** True where this life of the target is listed and does not leave. */
-	isListed(life: TargetLife, target: TargetName): boolean {
+	isAvailable(life: TargetIncarnation, target: TargetName): boolean {
 		const state = this.targets.get(target)
-		return state !== undefined && !state.leaving && lifeOf(state.entry) === life
+		return state !== undefined && !state.leaving && incarnationOf(state.entry) === life
 	}
 
 	/** True where the list calls this life of the target ready, whatever it says itself. */
-	isListedAsReady(target: TargetStart): boolean {
+	isListedAsReady(target: TargetIdentity): boolean {
 		return this.stateOf(target)?.entry.leaving === false
 	}
 
 	/** What is believed of this life of a target, where it is the one that is listed. */
-	private stateOf(target: TargetStart): TargetState | undefined {
+	private stateOf(target: TargetIdentity): TargetState | undefined {
 		const state = this.targets.get(target.name)
-		return state && lifeOf(state.entry) === lifeOf(target) ? state : undefined
+		return state && incarnationOf(state.entry) === incarnationOf(target) ? state : undefined
 	}
 
 	serviceOf(target: TargetName): ServiceName | undefined {
@@ -196,7 +207,7 @@
 	}
 
 	/** The cheapest place that takes new work, or undefined. */
-	choose(query: PlaceQuery, now: Millis): Place | undefined {
+	choose(query: PlacementQuery, now: Millis): Placement | undefined {
 		const listed = this.byService.get(query.service) ?? []
 		const candidates = this.candidates(listed, query, now)
 		const request = this.placementRequest(query, listed, candidates, now)
@@ -210,14 +221,14 @@
 			target: best.state.entry,
 			cost: best.cost,
 			candidates: candidates.length,
-			loadAgeMs: best.state.load ? Math.round(now - best.state.loadAt) : -1,
+			loadAgeMs: best.state.load ? Math.round(now - best.state.loadReportedAt) : -1,
 		}
 	}
 
 	/** Targets that take new work; those that could not be reached lately only where there is no other. */
 	private candidates(
 		listed: readonly TargetState[],
-		query: PlaceQuery,
+		query: PlacementQuery,
 		now: Millis,
 	): readonly TargetState[] {
 		const sound: TargetState[] = []
@@ -231,24 +242,24 @@
 	}
 
 	/** A request goes to this place now. */
-	begin(place: Place, work: StatedWork | undefined, now: Millis): AttemptHandle {
+	beginAttempt(place: Placement, work: DeclaredWork | undefined, now: Millis): AttemptHandle {
 		const state = this.targets.get(place.target.name)
-		const counted: RateKind[] = []
-		if (state) this.admission.count(state, now, counted)
+		const counted: RateLimitKind[] = []
+		if (state) this.admission.countRequest(state, now, counted)
 		const attempt: OpenAttempt = {
 			sentAt: now,
 			expectedMs: place.cost.expectedMs,
-			unreadTokens: place.cost.unreadTokens,
-			counted,
-			answered: false,
+			prefillTokens: place.cost.prefillTokens,
+			countedLimits: counted,
+			hasFirstByte: false,
 		}
-		state?.open.add(attempt)
-		if (work) state?.prompts.note(promptChains(work.parts))
-		return this.handle(place, attempt, state)
+		state?.openAttempts.add(attempt)
+		if (work) state?.prefixCache.record(promptPrefixKeys(work.parts))
+		return this.createHandle(place, attempt, state)
 	}
 
-	private handle(
-		place: Place,
+	private createHandle(
+		place: Placement,
 		attempt: OpenAttempt,
 		state: TargetState | undefined,
 	): AttemptHandle {
@@ -260,38 +271,38 @@
 			noteByte: (now) => {
 				if (!state) return
 				state.lastByteAt = now
-				if (attempt.answered) return
-				attempt.answered = true
+				if (attempt.hasFirstByte) return
+				attempt.hasFirstByte = true
 				this.noteFirstByte(service, attempt, state, now)
 			},
 			noteLoad: (load, now) => state?.noteLoad(load, now),
 			noteCold: (coldMs, now) => state?.noteCold(coldMs, now),
 			noteLeaving: (now) => this.noteLeaving(place.target, now),
 			noteBackoff: (ms, now) => this.noteBackoff(place.target, ms, now),
-			noteRate: (perSecond, now) => this.noteAnswerRate(place.target, attempt, perSecond, now),
+			noteRate: (perSecond, now) => this.noteResponseRate(place.target, attempt, perSecond, now),
 			noteUnreadableRate: (text) => this.noteUnreadableRate(place.target, text),
 			noteUnsent: () => {
 				if (state && this.stateOf(place.target) === state)
-					this.admission.giveBack(state, attempt.counted)
+					this.admission.refund(state, attempt.countedLimits)
 			},
 			end: (verdict, now) => {
-				if (!state?.open.delete(attempt)) return
-				state.noteVerdict(verdict, now)
+				if (!state?.openAttempts.delete(attempt)) return
+				state.noteOutcome(verdict, now)
 			},
 		}
 	}
 
 	/** This life of a target leaves, by its own word or that of another box. True where this is news. */
-	noteLeaving(target: TargetStart, now: Millis): boolean {
-		const life = lifeOf(target)
+	noteLeaving(target: TargetIdentity, now: Millis): boolean {
+		const life = incarnationOf(target)
 		const isNews = this.notices.of(life).leavingSince === undefined
-		this.takeNotice(target, this.notices.noteLeaving(life, now))
+		this.applyNotice(target, this.notices.noteLeaving(life, now))
 		return isNews
 	}
 
 	private noteBackoff(target: TargetEntry, ms: Millis, now: Millis): Millis {
-		const notice = this.notices.noteBackoff(lifeOf(target), ms, now)
-		this.takeNotice(target, notice)
+		const notice = this.notices.noteBackoff(incarnationOf(target), ms, now)
+		this.applyNotice(target, notice)
 		return notice.backoffUntil
 	}
 
@@ -299,14 +310,14 @@
 	 * An answer of this life names so many requests a second for all boxes together, or no rate any more, at a time of
 	 * this box's clock. True where the rate is another than was known.
 	 */
-	noteRate(target: TargetStart, perSecond: number | undefined, saidAt: Millis): boolean {
-		const life = lifeOf(target)
+	noteRate(target: TargetIdentity, perSecond: number | undefined, saidAt: Millis): boolean {
+		const life = incarnationOf(target)
 		const before = this.notices.of(life)
 		const notice = this.notices.noteRate(life, perSecond, saidAt)
 		if (notice === before) return false
-		this.takeNotice(target, notice)
+		this.applyNotice(target, notice)
 		const state = this.stateOf(target)
-		if (state && !notice.rate) this.admission.forgetNamedRate(state.entry)
+		if (state && !notice.rate) this.admission.forgetAdvertisedLimit(state.entry)
 		return notice.rate?.perSecond !== before.rate?.perSecond
 	}
 
@@ -314,27 +325,27 @@
 	 * The same, in the answer to a request. One without a rate may have been made before the newest word that names one,
 	 * and come late, unless its request left after that word: taken for the end, it would open the target to all boxes.
 	 */
-	private noteAnswerRate(
+	private noteResponseRate(
 		target: TargetEntry,
 		attempt: OpenAttempt,
 		perSecond: number | undefined,
 		now: Millis,
 	): boolean {
-		const namedAt = this.notices.of(lifeOf(target)).rate?.saidAt ?? Number.NEGATIVE_INFINITY
+		const namedAt = this.notices.of(incarnationOf(target)).rate?.saidAt ?? Number.NEGATIVE_INFINITY
 		if (perSecond === undefined && attempt.sentAt <= namedAt) return false
 		return this.noteRate(target, perSecond, now)
 	}
 
-	private noteUnreadableRate(target: TargetStart, text: string): boolean {
-		const life = lifeOf(target)
+	private noteUnreadableRate(target: TargetIdentity, text: string): boolean {
+		const life = incarnationOf(target)
 		const before = this.notices.of(life)
 		const notice = this.notices.noteUnreadableRate(life, text)
-		this.takeNotice(target, notice)
+		this.applyNotice(target, notice)
 		return notice !== before
 	}
 
 	/** Takes what a life said, where it is the one that is listed. */
-	private takeNotice(target: TargetStart, notice: TargetNotice): void {
+	private applyNotice(target: TargetIdentity, notice: TargetNotice): void {
 		const state = this.stateOf(target)
 		if (state) state.notice = notice
 	}
@@ -346,37 +357,37 @@
 		now: Millis,
 	): void {
 		const took = now - attempt.sentAt
-		state.noteSpeed(Math.max(LEAST_EXPECTED_MS, attempt.expectedMs), took)
-		if (attempt.unreadTokens <= 0) this.plainTimes.note(service, took)
+		state.noteLatency(Math.max(MIN_EXPECTED_MS, attempt.expectedMs), took)
+		if (attempt.prefillTokens <= 0) this.plainLatencies.record(service, took)
 	}
 
 	private placementRequest(
-		query: PlaceQuery,
+		query: PlacementQuery,
 		listed: readonly TargetState[],
 		candidates: readonly TargetState[],
 		now: Millis,
 	): PlacementRequest {
 		const parts = query.work?.parts ?? []
-		const chains = promptChains(parts)
+		const chains = promptPrefixKeys(parts)
 		const shared = chains.at(-2) ?? chains.at(-1)
 		const names = listed
 			.filter((state) => this.admission.isInService(state))
 			.map((state) => state.entry.name)
 		return {
 			zone: query.zone,
-			isConnected: query.isConnected,
+			hasIdleConnection: query.hasIdleConnection,
 			parts,
-			chains,
-			inputTokens: query.work && worstCaseTokens(query.work) > 0 ? query.work.inputTokens : 0,
-			plainMs: this.plainTimes.of(query.service),
-			home: shared === undefined ? undefined : rendezvousFirst(shared, names),
-			usualFailures: Math.min(...candidates.map((state) => state.failures(now))),
+			prefixKeys: chains,
+			inputTokens: query.work && maxTotalTokens(query.work) > 0 ? query.work.inputTokens : 0,
+			plainMs: this.plainLatencies.of(query.service),
+			affinityTarget: shared === undefined ? undefined : rendezvousFirst(shared, names),
+			baselineFailureRate: Math.min(...candidates.map((state) => state.failureRate(now))),
 		}
 	}
 
-	private isOpen(state: TargetState, query: PlaceQuery, now: Millis): boolean {
+	private isOpen(state: TargetState, query: PlacementQuery, now: Millis): boolean {
 		const { name, zone } = state.entry
-		if (query.tried.has(lifeOf(state.entry)) || !query.mayRunIn(zone)) return false
+		if (query.tried.has(incarnationOf(state.entry)) || !query.mayRunIn(zone)) return false
 		return this.admission.admits(state, now) && !query.isFull(name)
 	}
 
@@ -384,12 +395,12 @@
 	private maySend(chosen: TargetEntry, attempt: OpenAttempt, now: Millis): boolean {
 		const state = this.stateOf(chosen)
 		if (!state || !this.admission.isOpen(state, now)) return false
-		if (!this.admission.bearsOneMore(state, now, attempt.counted)) return false
-		this.admission.count(state, now, attempt.counted)
+		if (!this.admission.isWithinRateLimits(state, now, attempt.countedLimits)) return false
+		this.admission.countRequest(state, now, attempt.countedLimits)
 		return true
 	}
 
-	private group(): void {
+	private groupByService(): void {
 		this.byService.clear()
 		for (const state of this.targets.values()) {
 			const group = this.byService.get(state.entry.service)
--- a/packages/core/src/lib/placement/TargetWork.ts
+++ b/packages/core/src/lib/placement/TargetWork.ts
@@ -1,8 +1,8 @@
-import type { TargetLife } from './TargetLife.js'
+import type { TargetIncarnation } from './TargetIncarnation.js'
 
 /** Work under way at one target. @public */
 export interface TargetWork {
-	readonly life: TargetLife
+	readonly life: TargetIncarnation
 	/** Prompt tokens sent and not answered yet. */
 	readonly unreadTokens: number
 	/** Requests under way. */
--- a/packages/core/src/lib/placement/ZoneCordons.ts
+++ b/packages/core/src/lib/placement/ZoneCordons.ts
@@ -19,18 +19,18 @@
 }
 
 /** A cordon, and when this box took it. */
-interface HeldCordon extends ZoneCordon {
+interface ActiveCordon extends ZoneCordon {
 	readonly since: Millis
 }
 
 /** The availability zones that take no new work, as far as this box knows. @public */
 export class ZoneCordons {
-	private held = new Map<ZoneName, HeldCordon>()
+	private active = new Map<ZoneName, ActiveCordon>()
 
 	/** Takes the newest list, whole. */
 	replace(cordons: readonly ZoneCordon[], now: Millis): CordonChanges {
-		const before = this.held
-		this.held = new Map(
+		const before = this.active
+		this.active = new Map(
 			cordons.map((cordon) => [
 				cordon.zone,
 				{ ...cordon, since: before.get(cordon.zone)?.since ?? now },
@@ -38,21 +38,21 @@
 		)
 		return {
 			cordoned: cordons.filter(({ zone }) => !before.has(zone)),
-			reopened: [...before.values()].filter(({ zone }) => !this.held.has(zone)),
+			reopened: [...before.values()].filter(({ zone }) => !this.active.has(zone)),
 		}
 	}
 
 	has(zone: ZoneName): boolean {
-		return this.held.has(zone)
+		return this.active.has(zone)
 	}
 
 	get zones(): readonly ZoneName[] {
-		return [...this.held.keys()]
+		return [...this.active.keys()]
 	}
 
 	/** Time since this box took the cordon of a zone, in ms; undefined where there is none. */
 	ageMs(zone: ZoneName, now: Millis): Millis | undefined {
-		const cordon = this.held.get(zone)
+		const cordon = this.active.get(zone)
 		return cordon && now - cordon.since
 	}
 }
--- a/packages/core/src/lib/placement/coldRate.test.ts
+++ b/packages/core/src/lib/placement/coldRateLimit.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { brandId, type BoxName, type TargetName } from '../ids.js'
-import { mostInWindow } from '../mostInWindow.js'
-import { coldRate, type ColdLimits, type ColdStart } from './coldRate.js'
-import { FleetRateGate } from './FleetRateGate.js'
+import { maxCountInWindow } from '../maxCountInWindow.js'
+import { coldRateLimit, type ColdLimits, type ColdStart } from './coldRateLimit.js'
+import { FleetRateLimiter } from './FleetRateLimiter.js'
 
 const TARGET = brandId<TargetName>('i-1')
 const COLD_START: ColdStart = { ms: 3_000, requestsPerSecond: 7.7 }
 const LIMITS: ColdLimits = { overrun: 1.5, tolerance: 5 }
 const MOST_IN_A_SECOND = COLD_START.requestsPerSecond * LIMITS.overrun + LIMITS.tolerance
-const RATE = coldRate(COLD_START, LIMITS)
+const RATE = coldRateLimit(COLD_START, LIMITS)
 const SECOND_MS = 1_000
 const STEP_MS = 10
 
@@ -17,8 +17,8 @@
 	return Array.from({ length: count }, (_, index) => brandId<BoxName>(`box-${index}`))
 }
 
-function gateOf(self: BoxName, boxes: readonly BoxName[], isSettled = true): FleetRateGate {
-	return new FleetRateGate({ self, boxes: () => boxes, isSettled: () => isSettled })
+function gateOf(self: BoxName, boxes: readonly BoxName[], isSettled = true): FleetRateLimiter {
+	return new FleetRateLimiter({ self, boxes: () => boxes, isSettled: () => isSettled })
 }
 
 /** One box of a run, which may start anew and may not know one of the others yet. */
@@ -26,7 +26,7 @@
 	readonly box: BoxName
 	readonly boxes: readonly BoxName[]
 	readonly restartsAt: number
-	gate: FleetRateGate
+	gate: FleetRateLimiter
 }
 
 interface Run {
@@ -65,8 +65,8 @@
 		for (const sender of senders) {
 			if (Math.abs(now - sender.restartsAt) < STEP_MS / 2)
 				sender.gate = gateOf(sender.box, sender.boxes)
-			for (let i = 0; i < wanted && sender.gate.isOpen(TARGET, RATE, now); i++) {
-				sender.gate.take(TARGET, RATE, now)
+			for (let i = 0; i < wanted && sender.gate.canSend(TARGET, RATE, now); i++) {
+				sender.gate.consume(TARGET, RATE, now)
 				sent.push(now)
 			}
 		}
@@ -78,7 +78,7 @@
 	it('keeps the whole fleet below what a cold target may get in any second, without a word between boxes', () => {
 		fc.assert(
 			fc.property(runs, (run) => {
-				expect(mostInWindow(timesSent(run), SECOND_MS)).toBeLessThanOrEqual(MOST_IN_A_SECOND)
+				expect(maxCountInWindow(timesSent(run), SECOND_MS)).toBeLessThanOrEqual(MOST_IN_A_SECOND)
 			}),
 			{ seed: 37, numRuns: 60 },
 		)
@@ -92,14 +92,14 @@
 
 	it('lets nothing by from a box that the others may not know of yet', () => {
 		const gate = gateOf(brandId<BoxName>('box-0'), boxNames(1), false)
-		gate.isOpen(TARGET, RATE, 0)
-		expect(gate.isOpen(TARGET, RATE, 60_000)).toBe(false)
+		gate.canSend(TARGET, RATE, 0)
+		expect(gate.canSend(TARGET, RATE, 60_000)).toBe(false)
 	})
 
 	it('has at least one request a target where the fleet may send hardly any', () => {
 		const gate = gateOf(brandId<BoxName>('box-0'), boxNames(1))
-		const slow = coldRate({ ms: 3_000, requestsPerSecond: 0.5 }, { overrun: 1, tolerance: 0 })
-		expect(gate.isOpen(TARGET, slow, 0)).toBe(false)
-		expect(gate.isOpen(TARGET, slow, 10_000)).toBe(true)
+		const slow = coldRateLimit({ ms: 3_000, requestsPerSecond: 0.5 }, { overrun: 1, tolerance: 0 })
+		expect(gate.canSend(TARGET, slow, 0)).toBe(false)
+		expect(gate.canSend(TARGET, slow, 10_000)).toBe(true)
 	})
 })
--- a/packages/core/src/lib/placement/coldRate.ts
+++ b/packages/core/src/lib/placement/coldRateLimit.ts
@@ -1,5 +1,5 @@
 import type { Millis } from '../units.js'
-import type { FleetRate, RateDivision } from './FleetRateGate.js'
+import type { FleetRateLimit, RateAllocation } from './FleetRateLimiter.js'
 
 /** How targets of a service bear requests shortly after their start. @public */
 export interface ColdStart {
@@ -18,17 +18,28 @@
 }
 
 /** Boxes that send to one cold target: two, so that it warms up also where one of them is down. */
-const SENDERS = 2
+const SENDERS_PER_COLD_TARGET = 2
 /** Boxes that may wrongly take themselves for a sender: lists of boxes differ for some seconds. */
-const MISTAKEN_SENDERS = 1
+const MAX_EXTRA_SENDERS = 1
 
 /** The rate of a cold target. It ends by itself when the target is warm. */
-export function coldRate({ requestsPerSecond }: ColdStart, limits: ColdLimits): FleetRate {
+export function coldRateLimit(
+	{ requestsPerSecond }: ColdStart,
+	limits: ColdLimits,
+): FleetRateLimit {
 	const most = requestsPerSecond * limits.overrun + limits.tolerance
-	const part = Math.max(1, Math.floor(most / (SENDERS + MISTAKEN_SENDERS)))
+	const part = Math.max(1, Math.floor(most / (SENDERS_PER_COLD_TARGET + MAX_EXTRA_SENDERS)))
 	// A bucket lets by its depth and its rate together in one second; its depth must be one request at least.
-	const perSecond = Math.min(requestsPerSecond / SENDERS, Math.max(part - 1, part / 2))
+	const perSecond = Math.min(
+		requestsPerSecond / SENDERS_PER_COLD_TARGET,
+		Math.max(part - 1, part / 2),
+	)
 	const burst = Math.max(1, part - perSecond)
-	const division: RateDivision = { senders: SENDERS, perSecond, burst, isSpaced: false }
-	return { divide: () => division, trial: undefined }
+	const division: RateAllocation = {
+		senders: SENDERS_PER_COLD_TARGET,
+		perSecond,
+		burst,
+		isSpaced: false,
+	}
+	return { allocate: () => division, probe: undefined }
 }
--- a/packages/core/src/lib/placement/rateModel.ts
+++ b/packages/core/src/lib/placement/fleetRateSimulation.ts
@@ -1,76 +1,81 @@
 import { brandId, type BoxName, type TargetName } from '../ids.js'
-import { mostInWindow } from '../mostInWindow.js'
+import { maxCountInWindow } from '../maxCountInWindow.js'
 import type { Millis } from '../units.js'
-import { FleetRateGate, type FleetRate } from './FleetRateGate.js'
+import { FleetRateLimiter, type FleetRateLimit } from './FleetRateLimiter.js'
 
-/** What is played by {@link playRate}. */
-export interface RateModelOptions {
+/** What is played by {@link simulateFleetRate}. */
+export interface FleetRateSimulationOptions {
 	readonly boxes: number
 	/** Targets of one service; each names the same rate. */
 	readonly targets: number
 	/** Requests a second that arrive at each box, each of which may go to any of the targets. */
-	readonly demandPerBox: number
-	readonly rate: FleetRate
+	readonly requestsPerSecondPerBox: number
+	readonly rate: FleetRateLimit
 	readonly random: () => number
 	/** Boxes that the first half of the others does not know of, and which know all. */
-	readonly newcomers: number
+	readonly newBoxes: number
 	/** Boxes that are down, and still listed. */
-	readonly down: number
+	readonly downBoxes: number
 	/** When a quarter of the boxes starts anew with empty buckets. */
 	readonly restartsAt: Millis
 	/** When requests begin to arrive: until then all buckets fill. */
-	readonly demandFrom: Millis
+	readonly demandStartsAt: Millis
 }
 
 /** What became of it. */
-export interface RateModelResult {
-	/** Most requests that reached one target in {@link MODEL_WINDOW_MS}. */
-	readonly mostInAWindow: number
+export interface FleetRateSimulationResult {
+	/** Most requests that reached one target in {@link WINDOW_MS}. */
+	readonly maxInWindow: number
 	/** Requests that reached a target in a second, in the mean of all targets. */
 	readonly perSecond: number
 	/** Part of the boxes that sent no request at all. */
-	readonly starved: number
+	readonly starvedFraction: number
 }
 
-interface ModelBox {
+interface SimulatedBox {
 	readonly box: BoxName
 	readonly boxes: readonly BoxName[]
 	readonly isDown: boolean
 	readonly restarts: boolean
-	gate: FleetRateGate
+	gate: FleetRateLimiter
 	sent: number
 }
 
 /** Time in which what reaches a target is added up, in ms. */
-export const MODEL_WINDOW_MS: Millis = 4_000
+export const WINDOW_MS: Millis = 4_000
 const STEP_MS: Millis = 20
-const PLAYED_MS: Millis = 40_000
+const SIMULATED_MS: Millis = 40_000
 const SECOND_MS = 1_000
 
 /** Boxes that hear nothing of each other send all that they may to targets that name a rate. */
-export function playRate(options: RateModelOptions): RateModelResult {
+export function simulateFleetRate(options: FleetRateSimulationOptions): FleetRateSimulationResult {
 	const senders = makeBoxes(options)
 	const targets = Array.from({ length: options.targets }, (_, i) => brandId<TargetName>(`t${i}`))
 	const times = new Map<TargetName, Millis[]>(targets.map((target) => [target, []]))
-	for (let now = 0; now < PLAYED_MS; now += STEP_MS) {
+	for (let now = 0; now < SIMULATED_MS; now += STEP_MS) {
 		for (const sender of senders) {
-			if (sender.restarts && now === options.restartsAt) sender.gate = gateOf(sender)
+			if (sender.restarts && now === options.restartsAt) sender.gate = createLimiter(sender)
 			if (sender.isDown) continue
 			// Without a request a box does not look at its buckets.
-			const wanted = now === 0 ? 1 : now < options.demandFrom ? 0 : arrivals(options)
+			const wanted = now === 0 ? 1 : now < options.demandStartsAt ? 0 : arrivals(options)
 			for (let i = wanted; i > 0; i--) {
-				const target = targets.find((name) => sender.gate.isOpen(name, options.rate, now))
+				const target = targets.find((name) => sender.gate.canSend(name, options.rate, now))
 				if (!target) break
-				sender.gate.take(target, options.rate, now)
+				sender.gate.consume(target, options.rate, now)
 				sender.sent++
 				times.get(target)?.push(now)
 			}
 		}
 	}
-	return resultOf(options, senders, [...times.values()])
+	return summarize(options, senders, [...times.values()])
 }
 
-function makeBoxes({ boxes, newcomers, down, restartsAt }: RateModelOptions): ModelBox[] {
+function makeBoxes({
+	boxes,
+	newBoxes: newcomers,
+	downBoxes: down,
+	restartsAt,
+}: FleetRateSimulationOptions): SimulatedBox[] {
 	const all = Array.from({ length: boxes }, (_, i) => brandId<BoxName>(`box-${i}`))
 	const known = all.slice(newcomers)
 	return all.map((box, i) => {
@@ -83,30 +88,33 @@
 			boxes: boxesKnown,
 			isDown,
 			restarts,
-			gate: gateOf({ box, boxes: boxesKnown }),
+			gate: createLimiter({ box, boxes: boxesKnown }),
 			sent: 0,
 		}
 	})
 }
 
-function gateOf({ box, boxes }: Pick<ModelBox, 'box' | 'boxes'>): FleetRateGate {
-	return new FleetRateGate({ self: box, boxes: () => boxes, isSettled: () => true })
+function createLimiter({ box, boxes }: Pick<SimulatedBox, 'box' | 'boxes'>): FleetRateLimiter {
+	return new FleetRateLimiter({ self: box, boxes: () => boxes, isSettled: () => true })
 }
 
-function arrivals({ demandPerBox, random }: RateModelOptions): number {
+function arrivals({
+	requestsPerSecondPerBox: demandPerBox,
+	random,
+}: FleetRateSimulationOptions): number {
 	return Math.floor((demandPerBox * STEP_MS) / SECOND_MS + random())
 }
 
-function resultOf(
-	{ targets }: RateModelOptions,
-	senders: readonly ModelBox[],
+function summarize(
+	{ targets }: FleetRateSimulationOptions,
+	senders: readonly SimulatedBox[],
 	times: readonly Millis[][],
-): RateModelResult {
+): FleetRateSimulationResult {
 	const alive = senders.filter(({ isDown }) => !isDown)
 	const sum = times.reduce((total, list) => total + list.length, 0)
 	return {
-		mostInAWindow: Math.max(...times.map((list) => mostInWindow(list, MODEL_WINDOW_MS))),
-		perSecond: sum / targets / (PLAYED_MS / SECOND_MS),
-		starved: alive.filter(({ sent }) => sent === 0).length / alive.length,
+		maxInWindow: Math.max(...times.map((list) => maxCountInWindow(list, WINDOW_MS))),
+		perSecond: sum / targets / (SIMULATED_MS / SECOND_MS),
+		starvedFraction: alive.filter(({ sent }) => sent === 0).length / alive.length,
 	}
 }
--- a/packages/core/src/lib/placement/backoffModel.test.ts
+++ b/packages/core/src/lib/placement/overloadSimulation.test.ts
@@ -1,21 +1,21 @@
 import { describe, expect, it } from 'vitest'
-import { randomOf } from '../testRandom.js'
-import { playOverload, type OverloadOptions } from './backoffModel.js'
+import { seededRandom } from '../testRandom.js'
+import { simulateOverload, type OverloadSimulationOptions } from './overloadSimulation.js'
 
 const SEEDS = [1, 2, 3]
 
 /** Plain requests: 6 places and a queue of 12 at each of six targets, over their capacity for 3 s. */
-const PLAIN: Omit<OverloadOptions, 'random'> = {
+const PLAIN: Omit<OverloadSimulationOptions, 'random'> = {
 	boxes: 7,
 	targets: 6,
 	slots: 6,
-	queue: 12,
+	maxQueued: 12,
 	workMs: 60,
-	burst: 2.5,
-	calm: 0.7,
+	burstLoad: 2.5,
+	baseLoad: 0.7,
 	backoffMs: 3_000,
 	retries: 2,
-	patienceMs: 6_000,
+	callerTimeoutMs: 6_000,
 }
 
 /** Long requests at targets with many places. */
@@ -28,12 +28,12 @@
 const AIM = (0.72 * 2) / 3
 
 /** Part of the requests that is served, over all seeds. */
-function servedPart(options: Omit<OverloadOptions, 'random'>): number {
+function servedPart(options: Omit<OverloadSimulationOptions, 'random'>): number {
 	let asked = 0
 	let served = 0
 	for (const seed of SEEDS) {
-		const result = playOverload({ ...options, random: randomOf(seed) })
-		asked += result.asked
+		const result = simulateOverload({ ...options, random: seededRandom(seed) })
+		asked += result.requests
 		served += result.served
 	}
 	return served / asked
--- a/packages/core/src/lib/placement/rateReturnModel.test.ts
+++ b/packages/core/src/lib/placement/retrySimulation.test.ts
@@ -1,19 +1,19 @@
 import { describe, expect, it } from 'vitest'
-import { randomOf } from '../testRandom.js'
-import { playReturns, type ReturnModelOptions } from './rateReturnModel.js'
+import { seededRandom } from '../testRandom.js'
+import { simulateRetries, type RetrySimulationOptions } from './retrySimulation.js'
 
-const FLEET: Omit<ReturnModelOptions, 'until' | 'random'> = {
+const FLEET: Omit<RetrySimulationOptions, 'until' | 'random'> = {
 	boxes: 7,
 	targets: 6,
 	perSecond: 1.4,
 	load: 0.8,
-	boxesOfZone: 2,
+	boxesPerZone: 2,
 }
 
 /** Part of the requests that are served in time, in the mean of four days. */
-function inTime(options: typeof FLEET, until: ReturnModelOptions['until']): number {
+function inTime(options: typeof FLEET, until: RetrySimulationOptions['until']): number {
 	const days = [1, 2, 3, 4].map((seed) =>
-		playReturns({ ...options, until, random: randomOf(seed) }),
+		simulateRetries({ ...options, until, random: seededRandom(seed) }),
 	)
 	return days.reduce((sum, day) => sum + day.inTime, 0) / days.length
 }
--- a/packages/core/src/lib/placement/noticedTargetOf.ts
+++ b/packages/core/src/lib/placement/targetNoticeStatusOf.ts
@@ -1,14 +1,14 @@
 import type { Millis } from '../units.js'
-import type { NoticedTarget } from './NoticedTarget.js'
-import type { RateView } from './RateView.js'
+import type { TargetNoticeStatus } from './TargetNoticeStatus.js'
+import type { RateLimitStatus } from './RateLimitStatus.js'
 import type { TargetState } from './TargetState.js'
 
 /** What operators see of the words of a target, with the rate that it named; undefined where it said nothing that holds. */
-export function noticedTargetOf(
+export function targetNoticeStatusOf(
 	{ entry, notice }: TargetState,
-	rate: RateView | undefined,
+	rate: RateLimitStatus | undefined,
 	now: Millis,
-): NoticedTarget | undefined {
+): TargetNoticeStatus | undefined {
 	const { backoffUntil, leavingSince } = notice
 	const backoffMs = Math.max(0, backoffUntil - now)
 	if (leavingSince === undefined && backoffMs === 0 && !rate) return undefined
--- a/packages/core/src/lib/placement/testEntries.ts
+++ b/packages/core/src/lib/placement/testEntries.ts
@@ -1,5 +1,5 @@
 import { brandId, type ServiceName, type TargetName, type ZoneName } from '../ids.js'
-import type { PlaceQuery } from './Place.js'
+import type { PlacementQuery } from './Placement.js'
 import type { TargetEntry } from './TargetEntry.js'
 
 export const SERVICE = brandId<ServiceName>('engine')
@@ -22,14 +22,14 @@
 }
 
 /** A request that may go to any target. */
-export function query(changes: Partial<PlaceQuery> = {}): PlaceQuery {
+export function query(changes: Partial<PlacementQuery> = {}): PlacementQuery {
 	return {
 		service: SERVICE,
 		zone: ZONE,
 		work: undefined,
 		tried: new Set(),
 		isFull: () => false,
-		isConnected: () => true,
+		hasIdleConnection: () => true,
 		mayRunIn: () => true,
 		...changes,
 	}
--- a/packages/core/src/lib/quarantine/CrashRecord.ts
+++ b/packages/core/src/lib/quarantine/CrashRecord.ts
@@ -1,10 +1,10 @@
 import type { RequestFingerprint } from '../ids.js'
-import type { TargetLife } from '../placement/TargetLife.js'
+import type { TargetIncarnation } from '../placement/TargetIncarnation.js'
 import type { Millis } from '../units.js'
 
 /** A run of a request that was under way when its target ended. Times are of one steady clock. @public */
 export interface CrashedRun {
-	readonly life: TargetLife
+	readonly life: TargetIncarnation
 	readonly beganAt: Millis
 	readonly endedAt: Millis
 }
@@ -26,7 +26,7 @@
 }
 
 /** Runs that a record keeps: more than prove anything. */
-const MOST_RUNS = 12
+const MAX_RUNS = 12
 
 /**
  * Merges what two boxes know. The order of merges makes no difference, and a life counts once however many boxes saw
@@ -34,14 +34,14 @@
  */
 export function mergeRecords(a: CrashRecord, b: CrashRecord): CrashRecord {
 	if (a.generation !== b.generation) return a.generation > b.generation ? a : b
-	const runs = new Map<TargetLife, CrashedRun>()
+	const runs = new Map<TargetIncarnation, CrashedRun>()
 	for (const run of [...a.runs, ...b.runs]) {
 		const known = runs.get(run.life)
 		runs.set(run.life, known ? mergeRuns(known, run) : run)
 	}
 	return {
 		...a,
-		runs: [...runs.values()].sort(byEnd).slice(-MOST_RUNS),
+		runs: [...runs.values()].sort(byEnd).slice(-MAX_RUNS),
 		isQuarantined: a.isQuarantined || b.isQuarantined,
 		hadSecondChance: a.hadSecondChance || b.hadSecondChance,
 		changedAt: Math.max(a.changedAt, b.changedAt),
@@ -65,7 +65,7 @@
  * Runs that ended with their targets one after the other: each began after the one before was over. Targets that end
  * at the same moment, as those of a rack do, count as one: a request that is asked for often runs on several of them.
  */
-export function runsInRow(runs: readonly CrashedRun[]): readonly CrashedRun[] {
+export function consecutiveRuns(runs: readonly CrashedRun[]): readonly CrashedRun[] {
 	const row: CrashedRun[] = []
 	for (const run of runs) {
 		const before = row.at(-1)
--- a/packages/core/src/lib/quarantine/RequestQuarantine.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.ts
@@ -1,6 +1,6 @@
 import type { RequestFingerprint } from '../ids.js'
 import type { Millis } from '../units.js'
-import { mergeRecords, runsInRow, type CrashRecord, type CrashedRun } from './CrashRecord.js'
+import { mergeRecords, consecutiveRuns, type CrashRecord, type CrashedRun } from './CrashRecord.js'
 
 /**
  * How a request is treated.
@@ -33,18 +33,18 @@
  * How long a request stays quarantined after the last target ended under it, in ms. Then it is on probation: one more
  * target may end each time. Long against a repair by hand, short against a day.
  */
-const HOLD_MS: Millis = 600_000
+const QUARANTINE_MS: Millis = 600_000
 /**
  * Time after the last target ended under it when a quarantined request in doubt may run once more, in ms: those that
  * end targets beside it are quarantined by then, and targets are back.
  */
-const DOUBT_MS: Millis = 5_000
+const SECOND_CHANCE_DELAY_MS: Millis = 5_000
 /** How long anything is known of a request after the last target ended under it, in ms. */
-const FORGET_MS: Millis = 3_600_000
+const QUARANTINED_RETENTION_MS: Millis = 3_600_000
 /** How long a request is remembered that was cleared, or is only suspect, in ms: all boxes know it long before. */
-const SUSPECT_MS: Millis = 600_000
+const SUSPECT_RETENTION_MS: Millis = 600_000
 /** Requests that are remembered, some 500 bytes each. Those of which the least is known give way. */
-const MOST_RECORDS = 1_000
+const MAX_RECORDS = 1_000
 
 /**
  * Which requests end the targets that run them. A target that ends makes all requests suspect that it ran; a request
@@ -63,7 +63,7 @@
 	 * False where nothing is known of any request with this hint. Requests are told apart by a hash of their whole
 	 * content, which is taken only where this is true.
 	 */
-	mayConcern(hint: number): boolean {
+	mayHaveRecord(hint: number): boolean {
 		return this.hints.has(hint)
 	}
 
@@ -71,17 +71,17 @@
 		const record = this.records.get(fingerprint)
 		if (!record) return 'free'
 		if (record.isQuarantined) return 'quarantined'
-		return runsInRow(record.runs).length >= PROBATION_RUNS ? 'probation' : 'free'
+		return consecutiveRuns(record.runs).length >= PROBATION_RUNS ? 'probation' : 'free'
 	}
 
 	/** Time until the request may run again, in ms. */
-	heldMs(fingerprint: RequestFingerprint, now: Millis): Millis {
+	quarantineLeftMs(fingerprint: RequestFingerprint, now: Millis): Millis {
 		const record = this.records.get(fingerprint)
-		return record?.isQuarantined ? Math.max(0, record.changedAt + HOLD_MS - now) : 0
+		return record?.isQuarantined ? Math.max(0, record.changedAt + QUARANTINE_MS - now) : 0
 	}
 
 	/** A target ended while it ran the request. Returns what is known now. */
-	noteCrash({ fingerprint, hint }: RequestIdentity, run: CrashedRun, now: Millis): CrashRecord {
+	recordCrash({ fingerprint, hint }: RequestIdentity, run: CrashedRun, now: Millis): CrashRecord {
 		const known = this.records.get(fingerprint)
 		const generation = known?.generation ?? 0
 		const news: CrashRecord = {
@@ -93,7 +93,7 @@
 			hadSecondChance: false,
 			changedAt: now,
 		}
-		return this.put(known ? mergeRecords(known, news) : news)
+		return this.store(known ? mergeRecords(known, news) : news)
 	}
 
 	/**
@@ -103,7 +103,7 @@
 	clear(fingerprint: RequestFingerprint, now: Millis): CrashRecord | undefined {
 		const known = this.records.get(fingerprint)
 		if (!known || known.runs.length === 0) return undefined
-		return this.put({
+		return this.store({
 			...known,
 			generation: known.generation + 1,
 			runs: [],
@@ -119,8 +119,8 @@
 		for (const record of told) {
 			const known = this.records.get(record.fingerprint)
 			const merged = known ? mergeRecords(known, record) : record
-			if (known && isSame(known, merged)) continue
-			changed.push(this.put(merged))
+			if (known && isUnchanged(known, merged)) continue
+			changed.push(this.store(merged))
 		}
 		return changed
 	}
@@ -129,10 +129,10 @@
 	expire(now: Millis): void {
 		for (const record of [...this.records.values()]) {
 			const ageMs = now - record.changedAt
-			if (record.isQuarantined && ageMs >= HOLD_MS) this.put(onProbation(record))
-			else if (ageMs >= DOUBT_MS && this.isInDoubt(record))
-				this.put({ ...onProbation(record), hadSecondChance: true })
-			else if (ageMs >= keepMs(record)) this.remove(record.fingerprint)
+			if (record.isQuarantined && ageMs >= QUARANTINE_MS) this.store(onProbation(record))
+			else if (ageMs >= SECOND_CHANCE_DELAY_MS && this.mayBeBystander(record))
+				this.store({ ...onProbation(record), hadSecondChance: true })
+			else if (ageMs >= retentionMs(record)) this.remove(record.fingerprint)
 		}
 	}
 
@@ -142,12 +142,12 @@
 	}
 
 	/** Requests that are quarantined or on probation. */
-	get held(): readonly CrashRecord[] {
+	get restricted(): readonly CrashRecord[] {
 		return this.all.filter((record) => this.stageOf(record.fingerprint) !== 'free')
 	}
 
 	/** What is known of requests that another box has not heard were cleared. */
-	newerThan(told: readonly CrashRecord[]): readonly CrashRecord[] {
+	newerRecords(told: readonly CrashRecord[]): readonly CrashRecord[] {
 		return told.flatMap((record) => {
 			const known = this.records.get(record.fingerprint)
 			return known && known.generation > record.generation ? [known] : []
@@ -158,59 +158,59 @@
 		return this.all.filter((record) => record.isQuarantined)
 	}
 
-	private put(record: CrashRecord): CrashRecord {
-		const isProved = runsInRow(record.runs).length >= QUARANTINE_RUNS
+	private store(record: CrashRecord): CrashRecord {
+		const isProved = consecutiveRuns(record.runs).length >= QUARANTINE_RUNS
 		const isQuarantined = record.isQuarantined || isProved
 		const kept = isQuarantined ? { ...record, isQuarantined } : record
 		const isNew = !this.records.has(kept.fingerprint)
 		this.records.set(kept.fingerprint, kept)
-		if (isNew) this.noteHints()
-		if (this.records.size > MOST_RECORDS) this.dropLeast()
+		if (isNew) this.rebuildHints()
+		if (this.records.size > MAX_RECORDS) this.evictLeastInformative()
 		return kept
 	}
 
 	/** Others are quarantined that may have ended all of its targets: it may have been beside them each time. */
-	private isInDoubt(record: CrashRecord): boolean {
+	private mayBeBystander(record: CrashRecord): boolean {
 		if (!record.isQuarantined || record.hadSecondChance) return false
 		const others = this.quarantined.filter((other) => other.fingerprint !== record.fingerprint)
 		const explained = new Set(others.flatMap((other) => other.runs.map((run) => run.life)))
 		return record.runs.every((run) => explained.has(run.life))
 	}
 
-	private dropLeast(): void {
-		const least = this.all.reduce((a, b) => (tellsLess(b, a) ? b : a))
+	private evictLeastInformative(): void {
+		const least = this.all.reduce((a, b) => (isLessInformative(b, a) ? b : a))
 		this.remove(least.fingerprint)
 	}
 
 	private remove(fingerprint: RequestFingerprint): void {
 		this.records.delete(fingerprint)
-		this.noteHints()
+		this.rebuildHints()
 	}
 
-	private noteHints(): void {
+	private rebuildHints(): void {
 		this.hints = new Set(this.all.map((record) => record.hint))
 	}
 }
 
 /** The hold is over: one more target that ends under it brings it back. */
 function onProbation(record: CrashRecord): CrashRecord {
-	const row = runsInRow(record.runs).slice(-PROBATION_RUNS)
+	const row = consecutiveRuns(record.runs).slice(-PROBATION_RUNS)
 	return { ...record, generation: record.generation + 1, runs: row, isQuarantined: false }
 }
 
-function keepMs(record: CrashRecord): Millis {
+function retentionMs(record: CrashRecord): Millis {
 	const wasQuarantined = record.generation > 0 && record.runs.length >= PROBATION_RUNS
-	return wasQuarantined ? FORGET_MS : SUSPECT_MS
+	return wasQuarantined ? QUARANTINED_RETENTION_MS : SUSPECT_RETENTION_MS
 }
 
 /** True where less is lost with one record than with another: first by how much is known, then by how new it is. */
-function tellsLess(a: CrashRecord, b: CrashRecord): boolean {
+function isLessInformative(a: CrashRecord, b: CrashRecord): boolean {
 	if (a.isQuarantined !== b.isQuarantined) return b.isQuarantined
 	if (a.runs.length !== b.runs.length) return a.runs.length < b.runs.length
 	return a.changedAt < b.changedAt
 }
 
-function isSame(a: CrashRecord, b: CrashRecord): boolean {
+function isUnchanged(a: CrashRecord, b: CrashRecord): boolean {
 	return (
 		a.generation === b.generation &&
 		a.runs.length === b.runs.length &&
--- a/packages/core/src/lib/requests/RunFinisher.ts
+++ b/packages/core/src/lib/requests/RunFinisher.ts
@@ -1,5 +1,5 @@
 import { exhaustive } from '../exhaustive.js'
-import { assertInvariant } from '../InvariantBreach.js'
+import { assertInvariant } from '../InvariantViolation.js'
 import { maybeRun, notRun, type Refusal } from '../Refusal.js'
 import type { AttemptOutcome } from '../router/CoreEvent.js'
 import { SECOND_MS, type Millis } from '../units.js'
--- a/packages/core/src/lib/retry/decideAfterAttempt.test.ts
+++ b/packages/core/src/lib/retry/decideAfterAttempt.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
 import { decideAfterAttempt, type AttemptFacts, type AttemptResult } from './decideAfterAttempt.js'
-import { RepeatBudget } from './RepeatBudget.js'
+import { RetryBudget } from './RetryBudget.js'
 
 const FACTS: AttemptFacts = {
 	repeatable: false,
-	sent: 1,
+	attempts: 1,
 	maxAttempts: 3,
 	mayHaveRun: false,
-	leftMs: 1_000,
-	takeRepeat: () => true,
+	remainingMs: 1_000,
+	takeRetry: () => true,
 }
 
 const result: fc.Arbitrary<AttemptResult> = fc.oneof(
@@ -26,16 +26,20 @@
 
 	it('promises that a request has not run only where it has not', () => {
 		fc.assert(
-			fc.property(result, fc.record({ ...bools(), leftMs: fc.nat(60) }), (outcome, facts) => {
-				const step = decideAfterAttempt(outcome, {
-					...FACTS,
-					...facts,
-					takeRepeat: () => facts.budget,
-				})
-				if (step.kind !== 'refuse' || step.reason !== 'not-run') return
-				expect(facts.mayHaveRun).toBe(false)
-				expect(['not-sent', 'rejected']).toContain(outcome.kind)
-			}),
+			fc.property(
+				result,
+				fc.record({ ...arbitraryFlags(), leftMs: fc.nat(60) }),
+				(outcome, facts) => {
+					const step = decideAfterAttempt(outcome, {
+						...FACTS,
+						...facts,
+						takeRetry: () => facts.budget,
+					})
+					if (step.kind !== 'refuse' || step.reason !== 'not-run') return
+					expect(facts.mayHaveRun).toBe(false)
+					expect(['not-sent', 'rejected']).toContain(outcome.kind)
+				},
+			),
 			{ seed: 2 },
 		)
 	})
@@ -48,10 +52,10 @@
 		const facts = { ...FACTS, repeatable: true }
 		const failed: AttemptResult = { kind: 'answered', failed: true }
 		expect(decideAfterAttempt(failed, facts).kind).toBe('try-again')
-		expect(decideAfterAttempt(failed, { ...facts, sent: 3 }).kind).toBe('pass-on')
-		expect(decideAfterAttempt(failed, { ...facts, leftMs: 5 }).kind).toBe('pass-on')
-		expect(decideAfterAttempt(failed, { ...facts, takeRepeat: () => false }).kind).toBe('pass-on')
-		const unknown = decideAfterAttempt({ kind: 'unknown' }, { ...facts, sent: 3 })
+		expect(decideAfterAttempt(failed, { ...facts, attempts: 3 }).kind).toBe('pass-on')
+		expect(decideAfterAttempt(failed, { ...facts, remainingMs: 5 }).kind).toBe('pass-on')
+		expect(decideAfterAttempt(failed, { ...facts, takeRetry: () => false }).kind).toBe('pass-on')
+		const unknown = decideAfterAttempt({ kind: 'unknown' }, { ...facts, attempts: 3 })
 		expect(unknown).toEqual({ kind: 'refuse', reason: 'may-have-run' })
 	})
 })
@@ -60,14 +64,14 @@
 	it('keeps all boxes together below the limit in every window', () => {
 		const limits = { ratio: 0.2, slack: 50, windowMs: 10_000 }
 		const boxes = 5
-		const budgets = Array.from({ length: boxes }, () => new RepeatBudget())
+		const budgets = Array.from({ length: boxes }, () => new RetryBudget())
 		const repeats: number[] = []
 		let requests = 0
 		for (let now = 0; now < 40_000; now += 20) {
 			const budget = budgets[(now / 20) % boxes]
-			budget?.noteFirst(limits, now)
+			budget?.recordFirstAttempt(limits, now)
 			requests++
-			if (budget?.take(limits, boxes, now)) repeats.push(now)
+			if (budget?.tryAcquire(limits, boxes, now)) repeats.push(now)
 		}
 		const inWindow = requests / 4
 		for (const end of repeats) {
@@ -78,6 +82,6 @@
 	})
 })
 
-function bools() {
+function arbitraryFlags() {
 	return { repeatable: fc.boolean(), mayHaveRun: fc.boolean(), budget: fc.boolean() }
 }
--- a/packages/core/src/lib/retry/decideAfterAttempt.ts
+++ b/packages/core/src/lib/retry/decideAfterAttempt.ts
@@ -20,54 +20,54 @@
 	/** It may run more than once. */
 	readonly repeatable: boolean
 	/** Attempts that reached a target, this one included. */
-	readonly sent: number
+	readonly attempts: number
 	readonly maxAttempts: number
 	/** An earlier attempt may have run. */
 	readonly mayHaveRun: boolean
-	readonly leftMs: Millis
+	readonly remainingMs: Millis
 	/** Takes one repeat out of the budget; false where none is left. */
-	readonly takeRepeat: () => boolean
+	readonly takeRetry: () => boolean
 }
 
 /** What comes next: another target, the answer as it came, or an answer of our own. @public */
 export type NextStep =
 	| { readonly kind: 'try-again' }
 	| { readonly kind: 'pass-on' }
-	| { readonly kind: 'refuse'; readonly reason: GiveUpReason }
+	| { readonly kind: 'refuse'; readonly reason: NotAnsweredReason }
 
 /** Why a request is given up. `not-run` is a promise that it has not run and will not. @public */
-export type GiveUpReason = 'not-run' | 'may-have-run'
+export type NotAnsweredReason = 'not-run' | 'may-have-run'
 
 /** Time below which another target is not worth asking, in ms. */
-const LEAST_LEFT_MS = 25
+const MIN_REMAINING_MS = 25
 
 /** Decides what happens after an attempt. @public */
 export function decideAfterAttempt(outcome: AttemptResult, facts: AttemptFacts): NextStep {
 	switch (outcome.kind) {
 		case 'answered':
-			return outcome.failed && facts.repeatable && mayTryAgain(facts)
+			return outcome.failed && facts.repeatable && mayRetry(facts)
 				? { kind: 'try-again' }
 				: { kind: 'pass-on' }
 		case 'not-sent':
-			if (facts.leftMs >= LEAST_LEFT_MS) return { kind: 'try-again' }
-			return giveUp(facts.mayHaveRun)
+			if (facts.remainingMs >= MIN_REMAINING_MS) return { kind: 'try-again' }
+			return refuse(facts.mayHaveRun)
 		case 'rejected':
-			if (mayTryAgain(facts)) return { kind: 'try-again' }
-			return giveUp(facts.mayHaveRun)
+			if (mayRetry(facts)) return { kind: 'try-again' }
+			return refuse(facts.mayHaveRun)
 		case 'unknown':
-			if (facts.repeatable && mayTryAgain(facts)) return { kind: 'try-again' }
-			return giveUp(true)
+			if (facts.repeatable && mayRetry(facts)) return { kind: 'try-again' }
+			return refuse(true)
 		default:
 			return exhaustive(outcome)
 	}
 }
 
-function mayTryAgain(facts: AttemptFacts): boolean {
-	if (facts.sent >= facts.maxAttempts) return false
-	if (facts.leftMs < LEAST_LEFT_MS) return false
-	return facts.takeRepeat()
+function mayRetry(facts: AttemptFacts): boolean {
+	if (facts.attempts >= facts.maxAttempts) return false
+	if (facts.remainingMs < MIN_REMAINING_MS) return false
+	return facts.takeRetry()
 }
 
-function giveUp(mayHaveRun: boolean): NextStep {
+function refuse(mayHaveRun: boolean): NextStep {
 	return { kind: 'refuse', reason: mayHaveRun ? 'may-have-run' : 'not-run' }
 }
--- a/packages/core/src/lib/router/PeerMessage.ts
+++ b/packages/core/src/lib/router/PeerMessage.ts
@@ -3,7 +3,7 @@
 import type { LogBatch } from '../identity/WitnessCopy.js'
 import type { Member, ZoneView } from '../membership/ZoneView.js'
 import type { SliceCounters } from '../money/SliceLedger.js'
-import type { Testimony } from '../money/ZoneLedger.js'
+import type { ReplicaReport } from '../money/ZoneLedger.js'
 import type { Amount } from '../units.js'
 import type { LoadReport } from './LoadReport.js'
 
@@ -98,7 +98,7 @@
 			readonly kind: 'testimony'
 			readonly box: BoxName
 			readonly incarnation: Incarnation
-			readonly rows: readonly { readonly budget: BudgetName; readonly testimony: Testimony }[]
+			readonly rows: readonly { readonly budget: BudgetName; readonly testimony: ReplicaReport }[]
 	  }
 	/** Keeper to witness: the testimony is in the ledger. */
 	| { readonly kind: 'testimony-ack'; readonly box: BoxName; readonly incarnation: Incarnation }
--- a/packages/core/src/lib/router/RouterCore.ts
+++ b/packages/core/src/lib/router/RouterCore.ts
@@ -8,7 +8,7 @@
 import { exhaustive } from '../exhaustive.js'
 import type { BoxName } from '../ids.js'
 import type { WitnessCopy } from '../identity/WitnessCopy.js'
-import { InvariantBreach } from '../InvariantBreach.js'
+import { InvariantViolation } from '../InvariantViolation.js'
 import type { ZoneView } from '../membership/ZoneView.js'
 import { maybeRun } from '../Refusal.js'
 import { ALL_REQUEST_PROTECTIONS, type RequestProtections } from '../requests/RunAdvancer.js'
@@ -129,7 +129,7 @@
 			if (!this.fenced) this.requests.afterEvent()
 			if (!this.fenced) this.identity.log.flush()
 		} catch (error) {
-			if (!(error instanceof InvariantBreach) || this.options.throwOnBreach) throw error
+			if (!(error instanceof InvariantViolation) || this.options.throwOnBreach) throw error
 			this.context.log('invariant-breach', { ...error.facts, invariant: error.invariant })
 			this.refuseBroken(event)
 		}
--- a/packages/core/src/lib/routing/TargetState.ts
+++ b/packages/core/src/lib/routing/TargetState.ts
@@ -7,21 +7,21 @@
 	/** Attempts of this box that are in flight. */
 	inFlight: number
 	/** Time since which this box sends to the target; slow start counts from here. */
-	since: Millis
+	sendingSince: Millis
 	/** Last load report, and how many attempts this box has started since. */
-	reported: number
+	reportedLoad: number
 	reportedAt: Millis
 	startedSinceReport: number
 	/** Failures in a row. */
-	failures: number
+	consecutiveFailures: number
 	/** No work until this time. */
 	ejectedUntil: Millis
 	/** True while one probe is out after an ejection. */
-	probing: boolean
+	isProbing: boolean
 	/** True where the bundle, the platform's list or the target itself says so. */
 	leaving: boolean
 	/** Smoothed share of failed attempts, 0 to 1. */
-	failureShare: number
+	failureRate: number
 }
 
 /** State of a target that this box has just heard of. @public */
@@ -29,14 +29,14 @@
 	return {
 		record,
 		inFlight: 0,
-		since: now,
-		reported: 0,
+		sendingSince: now,
+		reportedLoad: 0,
 		reportedAt: 0,
 		startedSinceReport: 0,
-		failures: 0,
+		consecutiveFailures: 0,
 		ejectedUntil: 0,
-		probing: false,
+		isProbing: false,
 		leaving: false,
-		failureShare: 0,
+		failureRate: 0,
 	}
 }
