--- a/packages/core/src/lib/routing/pickTarget.ts
+++ b/packages/core/src/lib/routing/pickTarget.ts
@@ -42,18 +42,21 @@
 	readonly considered: readonly string[]
 }
 
-const COLD_SHARE = 0.1
+const MIN_SLOW_START_SHARE = 0.1
 
 /** Expected load of a target: own attempts, and the aged report with own sends since. Lower wins. */
 export function scoreTarget(state: TargetState, input: PickInput): number {
 	const { options, now } = input
 	const age = now - state.reportedAt
 	const weight = Math.max(0, 1 - age / options.reportLifeMs)
-	const reported = (state.reported + state.startedSinceReport) * weight
+	const reported = (state.reportedLoad + state.startedSinceReport) * weight
 	const load = Math.max(state.inFlight, reported) / state.record.concurrency
-	const warm = Math.min(1, COLD_SHARE + (now - state.since) / Math.max(1, options.slowStartMs))
+	const warm = Math.min(
+		1,
+		MIN_SLOW_START_SHARE + (now - state.sendingSince) / Math.max(1, options.slowStartMs),
+	)
 	const cold = ((1 - warm) * state.inFlight) / state.record.concurrency
-	const failing = (state.failureShare * options.failureCost) / state.record.concurrency
+	const failing = (state.failureRate * options.failureCost) / state.record.concurrency
 	return load + cold + failing
 }
 
@@ -68,8 +71,8 @@
 	input: PickInput,
 ): PickResult | undefined {
 	if (states.length === 0) return undefined
-	const pair = candidates(states, input)
-	const preferred = input.prefix === undefined ? undefined : preferredFor(states, input.prefix)
+	const pair = selectCandidates(states, input)
+	const preferred = input.prefix === undefined ? undefined : affinityTarget(states, input.prefix)
 	let best: { state: TargetState; score: number } | undefined
 	const considered: string[] = []
 	for (const state of pair) {
@@ -81,24 +84,27 @@
 	return best && { ...best, considered }
 }
 
-function candidates(states: readonly TargetState[], input: PickInput): readonly TargetState[] {
+function selectCandidates(
+	states: readonly TargetState[],
+	input: PickInput,
+): readonly TargetState[] {
 	const { policy } = input.options
 	if (policy === 'least-load' || states.length <= 1) return states
 	const first = Math.floor(input.random() * states.length)
 	const one = states[first] as TargetState
 	if (policy === 'random') return [one]
-	if (policy === 'round-robin') return [oldest(states)]
+	if (policy === 'round-robin') return [leastUsed(states)]
 	const step = 1 + Math.floor(input.random() * (states.length - 1))
 	const two = states[(first + step) % states.length] as TargetState
-	const preferred = input.prefix === undefined ? undefined : preferredFor(states, input.prefix)
+	const preferred = input.prefix === undefined ? undefined : affinityTarget(states, input.prefix)
 	return preferred && preferred !== one ? [preferred, one] : [one, two]
 }
 
-function oldest(states: readonly TargetState[]): TargetState {
+function leastUsed(states: readonly TargetState[]): TargetState {
 	return states.reduce((a, b) => (b.startedSinceReport < a.startedSinceReport ? b : a))
 }
 
-function preferredFor(states: readonly TargetState[], prefix: string): TargetState | undefined {
+function affinityTarget(states: readonly TargetState[], prefix: string): TargetState | undefined {
 	let best: TargetState | undefined
 	let bestHash = -1
 	for (const state of states) {
--- a/packages/core/src/lib/stream/EventSplitter.test.ts
+++ b/packages/core/src/lib/stream/EventSplitter.test.ts
@@ -6,10 +6,10 @@
 	it('gives whole events only, with their numbers', () => {
 		const splitter = new EventSplitter()
 		expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).toEqual([])
-		expect(splitter.insideEvent).toBe(true)
+		expect(splitter.hasPartialEvent).toBe(true)
 		const events = splitter.push(Buffer.from('\nx-version: 2\nid: 7\r\ndata: b\r\n\r\nid: 8'))
 		expect(events.map((event) => event.id)).toEqual([1, 7])
-		expect(splitter.insideEvent).toBe(true)
+		expect(splitter.hasPartialEvent).toBe(true)
 	})
 
 	it('gives the same bytes however they are cut', () => {
@@ -24,7 +24,7 @@
 					.flatMap((end, i) => splitter.push(whole.subarray(edges[i], end)))
 				expect(Buffer.concat(events.map((event) => event.bytes)).toString()).toBe(text)
 				expect(events.map((event) => event.id)).toEqual([1, undefined, 3])
-				expect(splitter.insideEvent).toBe(false)
+				expect(splitter.hasPartialEvent).toBe(false)
 			}),
 			{ seed: 1 },
 		)
--- a/packages/core/src/lib/stream/EventSplitter.ts
+++ b/packages/core/src/lib/stream/EventSplitter.ts
@@ -11,24 +11,24 @@
 
 /** Splits the bytes of a `text/event-stream` into whole events, each with its closing blank line. @public */
 export class EventSplitter {
-	private rest: Buffer = EMPTY
+	private partialEvent: Buffer = EMPTY
 
 	/** True while bytes of an unfinished event are held. */
-	get insideEvent(): boolean {
-		return this.rest.length > 0
+	get hasPartialEvent(): boolean {
+		return this.partialEvent.length > 0
 	}
 
 	push(chunk: Buffer): StreamEvent[] {
-		const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk])
+		const bytes = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk])
 		const events: StreamEvent[] = []
 		let start = 0
 		for (;;) {
 			const end = endOfEvent(bytes, start)
 			if (end < 0) break
-			events.push(readEvent(bytes.subarray(start, end)))
+			events.push(parseEvent(bytes.subarray(start, end)))
 			start = end
 		}
-		this.rest = bytes.subarray(start)
+		this.partialEvent = bytes.subarray(start)
 		return events
 	}
 }
@@ -42,7 +42,7 @@
 	return -1
 }
 
-function readEvent(bytes: Buffer): StreamEvent {
+function parseEvent(bytes: Buffer): StreamEvent {
 	const line = bytes
 		.toString('latin1')
 		.split('\n')
--- a/packages/core/src/lib/traffic/StatedWork.ts
+++ b/packages/core/src/lib/traffic/DeclaredWork.ts
@@ -5,7 +5,7 @@
 }
 
 /** What a caller says of the work that its request brings. @public */
-export interface StatedWork {
+export interface DeclaredWork {
 	readonly inputTokens: number
 	/** Most tokens that may come out. */
 	readonly maxOutputTokens: number
@@ -14,6 +14,6 @@
 }
 
 /** Tokens that a request may cost at its most. @public */
-export function worstCaseTokens(work: StatedWork): number {
+export function maxTotalTokens(work: DeclaredWork): number {
 	return work.inputTokens + work.maxOutputTokens
 }
--- a/packages/core/src/lib/traffic/TrafficConfig.ts
+++ b/packages/core/src/lib/traffic/TrafficConfig.ts
@@ -1,5 +1,5 @@
 import type { AccountName, RouteName, ServiceName } from '../ids.js'
-import type { ColdStart } from '../placement/coldRate.js'
+import type { ColdStart } from '../placement/coldRateLimit.js'
 import type { Millis } from '../units.js'
 import type { AllowedRegions } from './allowsRegion.js'
 
@@ -29,9 +29,9 @@
 	/** Longest time that a request is held. */
 	readonly timeoutMs: Millis
 	/** Time within which an answer, or the first event of a stream, is in time. */
-	readonly aimMs: Millis
+	readonly latencyGoalMs: Millis
 	/** Longest pause between two events with which a stream is still in time; undefined: none is stated. */
-	readonly pauseAimMs: Millis | undefined
+	readonly eventGapGoalMs: Millis | undefined
 	/** Rank among routes; 0 is the most urgent. */
 	readonly rank: number
 	/** Never empty. */
@@ -39,9 +39,9 @@
 	/** Most targets that one request may be sent to. */
 	readonly maxAttempts: number
 	/** No key is asked for. */
-	readonly open: boolean
+	readonly isPublic: boolean
 	/** Requests state their work: prompt tokens, prompt parts, most tokens out. */
-	readonly statesWork: boolean
+	readonly requiresDeclaredWork: boolean
 	/** Regions that its requests may run in. */
 	readonly regions: AllowedRegions
 }
@@ -71,10 +71,10 @@
 
 /** What a caller may send, and how long it may take. @public */
 export interface RequestLimits {
-	readonly headerBytes: number
-	readonly bodyBytes: number
-	readonly headerMs: Millis
-	readonly idleMs: Millis
+	readonly maxHeaderBytes: number
+	readonly maxBodyBytes: number
+	readonly headerTimeoutMs: Millis
+	readonly idleTimeoutMs: Millis
 }
 
 /** One version of the configuration of the traffic, whole. @public */
--- a/packages/core/src/lib/traffic/TrafficIndex.test.ts
+++ b/packages/core/src/lib/traffic/TrafficIndex.test.ts
@@ -11,16 +11,16 @@
 		kind: 'once',
 		resumable: false,
 		timeoutMs: 1_000,
-		aimMs: 100,
-		pauseAimMs: undefined,
+		latencyGoalMs: 100,
+		eventGapGoalMs: undefined,
 		rank,
 		shares: [
 			{ service: brandId<ServiceName>('s1'), weight: 90 },
 			{ service: brandId<ServiceName>('s2'), weight: 10 },
 		],
 		maxAttempts: 1,
-		open: false,
-		statesWork: false,
+		isPublic: false,
+		requiresDeclaredWork: false,
 		regions: undefined,
 	}
 }
@@ -38,7 +38,7 @@
 			regions: undefined,
 		},
 	],
-	limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
+	limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 }
 
 describe('TrafficIndex', () => {
--- a/packages/core/src/lib/traffic/TrafficIndex.ts
+++ b/packages/core/src/lib/traffic/TrafficIndex.ts
@@ -1,6 +1,6 @@
 import { fnv1a } from '../fnv1a.js'
 import type { AccountName, ServiceName } from '../ids.js'
-import type { ColdStart } from '../placement/coldRate.js'
+import type { ColdStart } from '../placement/coldRateLimit.js'
 import type { Account, Route, Service, TrafficConfig } from './TrafficConfig.js'
 
 /** A {@link TrafficConfig} with the look-ups that each request needs. @public */
@@ -9,18 +9,18 @@
 	private readonly accountsByKey = new Map<string, Account>()
 	private readonly accountsByName = new Map<AccountName, Account>()
 	private readonly servicesByName: ReadonlyMap<ServiceName, Service>
-	private readonly highestRouteRank: number
+	private readonly maxRouteRank: number
 
 	constructor(readonly config: TrafficConfig) {
 		for (const route of config.routes) this.addRoute(route)
 		for (const routes of this.routesByHost.values()) routes.sort(byLongestPrefix)
 		for (const account of config.accounts ?? []) this.addAccount(account)
 		this.servicesByName = new Map(config.services.map((service) => [service.name, service]))
-		this.highestRouteRank = Math.max(0, ...config.routes.map((route) => route.rank))
+		this.maxRouteRank = Math.max(0, ...config.routes.map((route) => route.rank))
 	}
 
 	/** True where requests must carry the key of an account. */
-	get asksForKeys(): boolean {
+	get requiresKeys(): boolean {
 		return this.config.accounts !== undefined
 	}
 
@@ -65,7 +65,7 @@
 
 	/** One rank out of both: that of the account goes before that of the route. */
 	rankOf(route: Route, account: Account | undefined): number {
-		return (account?.rank ?? 0) * (this.highestRouteRank + 1) + route.rank
+		return (account?.rank ?? 0) * (this.maxRouteRank + 1) + route.rank
 	}
 
 	private addRoute(route: Route): void {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -2,7 +2,7 @@
 export { type QuarantineStatus } from './lib/CrashProtection.js'
 export { describeError } from './lib/describeError.js'
 export { type Dialect, type HeaderNames, type MalformedRequest } from './lib/Dialect.js'
-export { type Documents } from './lib/Documents.js'
+export { type StoreLayout } from './lib/StoreLayout.js'
 export { Gateway } from './lib/Gateway.js'
 export { newGatewayIncarnation } from './lib/newGatewayIncarnation.js'
 export { type GatewayOptions, type GatewayPorts } from './lib/GatewayOptions.js'
@@ -12,10 +12,10 @@
 export { watchFile } from './lib/watchFile.js'
 export { isSocketAddress, parseAddress } from './lib/parseAddress.js'
 export {
-	WorldClock,
-	machineClocks,
+	SuspendAwareClock,
+	systemClocks,
 	type ClockSources,
-	type WorkMillis,
-	type WorldMillis,
-} from './lib/WorldClock.js'
+	type MonotonicMillis,
+	type SuspendAwareMillis,
+} from './lib/SuspendAwareClock.js'
 export { type RefusalKind } from './lib/Refusal.js'
--- a/packages/gateway/src/lib/AllowanceClient.test.ts
+++ b/packages/gateway/src/lib/AllowanceClient.test.ts
@@ -1,22 +1,29 @@
-import { PROMISE_MS } from '@stallwing/core'
+import { SPENDING_LIMIT_VALIDITY_MS } from '@stallwing/core'
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { ACCOUNT, BOXES, MoneyFleet, START_MS, asks, pass } from './testMoneyFleet.js'
+import {
+	ACCOUNT,
+	BOXES,
+	BudgetTestFleet,
+	CLAIM_ALL_MS,
+	requestAndWait,
+	advance,
+} from './testBudgetFleet.js'
 
 /** Randomised days and their seed; by hand, more and others. */
-const RUNS = Number(process.env['MONEY_RUNS'] ?? 300)
-const SEED = Number(process.env['MONEY_SEED'] ?? 20261202)
+const PROPERTY_RUNS = Number(process.env['MONEY_RUNS'] ?? 300)
+const PROPERTY_SEED = Number(process.env['MONEY_SEED'] ?? 20261202)
 const BUDGET = 10_000
 /** A budget whose end is far: ceilings are at their widest. */
-const FAR_BUDGET = 30_000
+const LARGE_BUDGET = 30_000
 /** A budget that runs dry within a randomised run: only then does a token too many show. */
 const SMALL_BUDGET = 3_000
 const LOWERED_BUDGET = 1_200
 /** Times for which machines are suspended, in ms. */
-const SUSPENDED_MS = [100, 700, 2_000, 3_600, 8_000, 30_000]
+const SUSPENSIONS_MS = [100, 700, 2_000, 3_600, 8_000, 30_000]
 
 /** One thing that happens, after a pause. */
-interface Happening {
+interface FleetEvent {
 	readonly pauseMs: number
 	readonly box: number
 	readonly kind:
@@ -36,7 +43,7 @@
 	readonly chargedPart: number
 }
 
-const happening: fc.Arbitrary<Happening> = fc.record({
+const fleetEvent: fc.Arbitrary<FleetEvent> = fc.record({
 	pauseMs: fc.constantFrom(1, 5, 40, 200, 900, 2_500),
 	box: fc.nat({ max: BOXES.length - 1 }),
 	kind: fc.constantFrom(
@@ -72,47 +79,47 @@
 		['two draw for all', ['box-1', 'box-2']],
 	])('never lets the boxes together spend more than the budget: %s', async (_name, drawing) => {
 		const runs = fc.asyncProperty(
-			fc.array(happening, { minLength: 40, maxLength: 120 }),
+			fc.array(fleetEvent, { minLength: 40, maxLength: 120 }),
 			fc.nat({ max: 1_000 }),
 			async (happenings, fateSeed) => {
-				const fleet = new MoneyFleet(SMALL_BUDGET, fateSeed, drawing)
-				await pass(fleet, START_MS)
+				const fleet = new BudgetTestFleet(SMALL_BUDGET, fateSeed, drawing)
+				await advance(fleet, CLAIM_ALL_MS)
 				// What was spent or set aside when a budget was lowered below it can't be taken back.
 				let bound = SMALL_BUDGET
 				let revision = 1
 				for (const { kind, box, tokens, chargedPart, pauseMs } of happenings) {
 					const name = BOXES[box] ?? BOXES[0]
-					if (kind === 'ask') void fleet.ask(name, tokens, chargedPart)
+					if (kind === 'ask') void fleet.request(name, tokens, chargedPart)
 					else if (kind === 'kill') fleet.kill(name)
 					else if (kind === 'stop') void fleet.stop(name)
 					else if (kind === 'suspend')
-						fleet.suspend(name, SUSPENDED_MS[tokens % SUSPENDED_MS.length] ?? 0)
-					else if (kind === 'set-time') fleet.setTimeOfDay(name, (tokens - 200) * 50)
-					else if (kind === 'cut' || kind === 'heal') fleet.setCut(name, kind === 'cut')
+						fleet.suspend(name, SUSPENSIONS_MS[tokens % SUSPENSIONS_MS.length] ?? 0)
+					else if (kind === 'set-time') fleet.setWallClockOffset(name, (tokens - 200) * 50)
+					else if (kind === 'cut' || kind === 'heal') fleet.setCutOff(name, kind === 'cut')
 					else if (kind === 'lower' || kind === 'raise') {
 						const budget = kind === 'lower' ? LOWERED_BUDGET : SMALL_BUDGET
 						fleet.setBudgets(++revision, { [ACCOUNT]: budget })
 						bound = Math.max(budget, fleet.spent)
-					} else fleet.setStormy(kind === 'storm')
-					await pass(fleet, pauseMs)
+					} else fleet.setStoreFaults(kind === 'storm')
+					await advance(fleet, pauseMs)
 					expect(fleet.spent).toBeLessThanOrEqual(bound)
 				}
-				expect(fleet.unreadable).toBe(0)
+				expect(fleet.unreadableRecords).toBe(0)
 				vi.clearAllTimers()
 			},
 		)
-		await fc.assert(runs, { seed: SEED, numRuns: RUNS, endOnFailure: true })
+		await fc.assert(runs, { seed: PROPERTY_SEED, numRuns: PROPERTY_RUNS, endOnFailure: true })
 	})
 
 	it.each([
 		['each draws', BOXES],
 		['one draws for all', ['box-1']],
 	])('spends nearly all of a budget, wherever the requests arrive: %s', async (_name, drawing) => {
-		const fleet = new MoneyFleet(BUDGET, 0, drawing, drawing === BOXES)
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(BUDGET, 0, drawing, drawing === BOXES)
+		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 400; i++) {
-			void fleet.ask(BOXES[i % BOXES.length] ?? BOXES[0], 40, 1)
-			await pass(fleet, 50)
+			void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 40, 1)
+			await advance(fleet, 50)
 		}
 		expect(fleet.spent).toBeGreaterThan(0.97 * BUDGET)
 	})
@@ -121,17 +128,17 @@
 		['a kill', 600],
 		['a loss of power', 2_200],
 	])('takes only the promised ceiling as spent after %s', async (_name, downMs) => {
-		const fleet = new MoneyFleet(BUDGET, 0)
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(BUDGET, 0)
+		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 100; i++) {
-			void fleet.ask(BOXES[i % BOXES.length] ?? BOXES[0], 90, 1)
-			await pass(fleet, 50)
+			void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 90, 1)
+			await advance(fleet, 50)
 		}
 		for (const box of BOXES) fleet.kill(box, downMs)
-		await pass(fleet, downMs + 1_500)
+		await advance(fleet, downMs + 1_500)
 		for (let i = 0; i < 100; i++) {
-			void fleet.ask(BOXES[i % BOXES.length] ?? BOXES[0], 20, 1)
-			await pass(fleet, 50)
+			void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 20, 1)
+			await advance(fleet, 50)
 		}
 		// Near its end a ceiling allows half a second of demand in advance, at each box.
 		expect(fleet.spent).toBeGreaterThan(0.92 * BUDGET)
@@ -139,36 +146,38 @@
 	})
 
 	it('takes all that was drawn as spent when the promise may have been over', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0)
-		await pass(fleet, START_MS)
-		expect(await asks(fleet, 'box-1', 500)).toBe(true)
-		fleet.setCut('box-1', true)
-		await pass(fleet, 6_000)
+		const fleet = new BudgetTestFleet(BUDGET, 0)
+		await advance(fleet, CLAIM_ALL_MS)
+		expect(await requestAndWait(fleet, 'box-1', 500)).toBe(true)
+		fleet.setCutOff('box-1', true)
+		await advance(fleet, 6_000)
 		// Beyond the promise, the box spends all that it drew.
 		let spentInCut = 0
-		for (let i = 0; i < 40; i++) if (await asks(fleet, 'box-1', 50)) spentInCut += 50
+		for (let i = 0; i < 40; i++) if (await requestAndWait(fleet, 'box-1', 50)) spentInCut += 50
 		expect(spentInCut).toBeGreaterThan(0)
 		fleet.kill('box-1')
-		fleet.setCut('box-1', false)
-		await pass(fleet, 2_000)
-		for (let i = 0; i < 400; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
+		fleet.setCutOff('box-1', false)
+		await advance(fleet, 2_000)
+		for (let i = 0; i < 400; i++)
+			await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
 		expect(fleet.spent).toBeLessThanOrEqual(BUDGET)
 	})
 
 	it('gives back what is free when it stops, and hands it over when the store is away', async () => {
 		for (const cut of [false, true]) {
-			const fleet = new MoneyFleet(BUDGET, 0)
-			await pass(fleet, START_MS)
+			const fleet = new BudgetTestFleet(BUDGET, 0)
+			await advance(fleet, CLAIM_ALL_MS)
 			for (let i = 0; i < 20; i++) {
-				void fleet.ask('box-1', 100, 1)
-				await pass(fleet, 50)
+				void fleet.request('box-1', 100, 1)
+				await advance(fleet, 50)
 			}
-			fleet.setCut('box-1', cut)
-			await pass(fleet, cut ? PROMISE_MS + 3_000 : 0)
+			fleet.setCutOff('box-1', cut)
+			await advance(fleet, cut ? SPENDING_LIMIT_VALIDITY_MS + 3_000 : 0)
 			void fleet.stop('box-1')
-			await pass(fleet, 4_000)
-			fleet.setCut('box-1', false)
-			for (let i = 0; i < 200; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 50)
+			await advance(fleet, 4_000)
+			fleet.setCutOff('box-1', false)
+			for (let i = 0; i < 200; i++)
+				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 50)
 			expect(fleet.spent).toBeGreaterThan(0.97 * BUDGET)
 			expect(fleet.spent).toBeLessThanOrEqual(BUDGET)
 		}
@@ -176,109 +185,115 @@
 
 	it('keeps to a lowered budget, also for an account that was away in between', async () => {
 		for (const between of [undefined, {}]) {
-			const fleet = new MoneyFleet(BUDGET, 0)
-			await pass(fleet, START_MS)
-			for (let i = 0; i < 10; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
+			const fleet = new BudgetTestFleet(BUDGET, 0)
+			await advance(fleet, CLAIM_ALL_MS)
+			for (let i = 0; i < 10; i++)
+				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
 			if (between) fleet.setBudgets(2, between)
 			fleet.setBudgets(3, { [ACCOUNT]: 1_500 })
-			for (let i = 0; i < 60; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
+			for (let i = 0; i < 60; i++)
+				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
 			expect(fleet.spent).toBeLessThanOrEqual(1_500)
 			fleet.setBudgets(4, { [ACCOUNT]: 3_000 })
-			for (let i = 0; i < 60; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
+			for (let i = 0; i < 60; i++)
+				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
 			expect(fleet.spent).toBeGreaterThan(2_800)
 			expect(fleet.spent).toBeLessThanOrEqual(3_000)
 		}
 	})
 
 	it('keeps to a lowered budget where other boxes draw', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0, ['box-1'])
-		await pass(fleet, START_MS)
-		for (let i = 0; i < 10; i++) void fleet.ask('box-3', 100, 0.2)
-		await pass(fleet, 100)
+		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1'])
+		await advance(fleet, CLAIM_ALL_MS)
+		for (let i = 0; i < 10; i++) void fleet.request('box-3', 100, 0.2)
+		await advance(fleet, 100)
 		fleet.setBudgets(3, { [ACCOUNT]: 400 })
-		for (let i = 0; i < 20; i++) await asks(fleet, 'box-3', 50)
+		for (let i = 0; i < 20; i++) await requestAndWait(fleet, 'box-3', 50)
 		expect(fleet.spent).toBeLessThanOrEqual(400)
 		fleet.setBudgets(4, { [ACCOUNT]: 3_000 })
-		for (let i = 0; i < 60; i++) await asks(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
+		for (let i = 0; i < 60; i++)
+			await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
 		expect(fleet.spent).toBeGreaterThan(1_500)
 		expect(fleet.spent).toBeLessThanOrEqual(3_000)
 	})
 
 	it('serves a box that does not draw through a cut of all boxes from the store', async () => {
-		const fleet = new MoneyFleet(FAR_BUDGET, 0, ['box-1'], false)
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(LARGE_BUDGET, 0, ['box-1'], false)
+		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 60; i++) {
-			void fleet.ask('box-3', 20, 1)
-			await pass(fleet, 50)
+			void fleet.request('box-3', 20, 1)
+			await advance(fleet, 50)
 		}
 		const before = fleet.spent
-		for (const box of BOXES) fleet.setCut(box, true)
+		for (const box of BOXES) fleet.setCutOff(box, true)
 		for (let i = 0; i < 60; i++) {
-			void fleet.ask('box-3', 20, 1)
-			await pass(fleet, 50)
+			void fleet.request('box-3', 20, 1)
+			await advance(fleet, 50)
 		}
 		expect(fleet.spent - before).toBeGreaterThan(0.97 * 60 * 20)
 	})
 
 	it('goes to the next box where one is late, and keeps the tokens that come late', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0, ['box-1', 'box-2'], false, { 'box-1': 700 })
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1', 'box-2'], false, { 'box-1': 700 })
+		await advance(fleet, CLAIM_ALL_MS)
 		const began = Date.now()
-		const first = fleet.ask('box-3', 300, 1).then((got) => ({ got, after: Date.now() - began }))
-		await pass(fleet, 400)
+		const first = fleet.request('box-3', 300, 1).then((got) => ({ got, after: Date.now() - began }))
+		await advance(fleet, 400)
 		expect(await first).toEqual({ got: true, after: expect.any(Number) })
 		expect((await first).after).toBeLessThan(200)
-		await pass(fleet, 800)
-		for (const box of BOXES) fleet.setCut(box, true)
+		await advance(fleet, 800)
+		for (const box of BOXES) fleet.setCutOff(box, true)
 		fleet.kill('box-2')
-		const second = fleet.ask('box-3', 300, 1)
+		const second = fleet.request('box-3', 300, 1)
 		await vi.advanceTimersByTimeAsync(1)
 		expect(await second).toBe(true)
 	})
 
 	it('claims nothing and calls the store for nothing where it does not draw', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0, ['box-1'])
-		await pass(fleet, START_MS)
-		for (let i = 0; i < 10; i++) await asks(fleet, 'box-3', 50)
+		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1'])
+		await advance(fleet, CLAIM_ALL_MS)
+		for (let i = 0; i < 10; i++) await requestAndWait(fleet, 'box-3', 50)
 		expect(fleet.spent).toBeGreaterThan(0)
-		expect(fleet.callsOf('box-3')).toBe(0)
+		expect(fleet.storeCallsOf('box-3')).toBe(0)
 	})
 
 	it('writes little for requests that no draw can serve', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0, ['box-1', 'box-2'], false)
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1', 'box-2'], false)
+		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 18; i++) {
-			void fleet.ask(BOXES[i % 2] ?? BOXES[0], 490, 1)
-			await pass(fleet, 50)
+			void fleet.request(BOXES[i % 2] ?? BOXES[0], 490, 1)
+			await advance(fleet, 50)
 		}
-		await pass(fleet, 1_000)
+		await advance(fleet, 1_000)
 		const before = fleet.store.calls.get('write') ?? 0
 		for (let i = 0; i < 100; i++) {
-			void fleet.ask('box-3', 1_100, 1)
-			await pass(fleet, 20)
+			void fleet.request('box-3', 1_100, 1)
+			await advance(fleet, 20)
 		}
 		// Two seconds: a promise of each lender is renewed, and each tells the other once a second.
 		expect((fleet.store.calls.get('write') ?? 0) - before).toBeLessThan(12)
 	})
 
 	it('goes on drawing after a record that it could not read', async () => {
-		const fleet = new MoneyFleet(BUDGET, 0)
-		await pass(fleet, START_MS)
+		const fleet = new BudgetTestFleet(BUDGET, 0)
+		await advance(fleet, CLAIM_ALL_MS)
 		const good = fleet.store.text('allowance') ?? ''
 		fleet.store.put('allowance', 'not a record')
-		await pass(fleet, 3_000)
-		expect(await asks(fleet, 'box-1', 9_000)).toBe(false)
+		await advance(fleet, 3_000)
+		expect(await requestAndWait(fleet, 'box-1', 9_000)).toBe(false)
 		fleet.store.put('allowance', good)
-		await pass(fleet, 3_000)
-		expect(await asks(fleet, 'box-1', 2_000)).toBe(true)
+		await advance(fleet, 3_000)
+		expect(await requestAndWait(fleet, 'box-1', 2_000)).toBe(true)
 	})
 
 	it('answers at once when the store and the other boxes have nothing', async () => {
-		const fleet = new MoneyFleet(100, 0)
-		await pass(fleet, START_MS)
-		expect(await asks(fleet, 'box-1', 60)).toBe(true)
+		const fleet = new BudgetTestFleet(100, 0)
+		await advance(fleet, CLAIM_ALL_MS)
+		expect(await requestAndWait(fleet, 'box-1', 60)).toBe(true)
 		const before = Date.now()
-		const second = fleet.ask('box-2', 60, 1).then((got) => ({ got, after: Date.now() - before }))
+		const second = fleet
+			.request('box-2', 60, 1)
+			.then((got) => ({ got, after: Date.now() - before }))
 		await vi.advanceTimersByTimeAsync(2_000)
 		const { got, after } = await second
 		expect(got).toBe(false)
--- a/packages/gateway/src/lib/AllowanceClient.ts
+++ b/packages/gateway/src/lib/AllowanceClient.ts
@@ -1,6 +1,6 @@
 import {
-	NEAR_END_SECONDS,
-	richestBoxes,
+	NEAR_EXHAUSTION_SECONDS,
+	boxesByUnspent,
 	type AccountName,
 	type AllowanceView,
 	type Budgets,
@@ -8,37 +8,37 @@
 import { AllowanceDrawer, type DrawOptions } from './AllowanceDrawer.js'
 import { AllowanceRecord } from './AllowanceRecord.js'
 import { AllowanceState } from './AllowanceState.js'
-import { DrawTelling, type ToldDraws } from './DrawTelling.js'
-import type { ReserveResult } from './DrawWaiters.js'
+import { DrawReplicator, type ReplicatedDraws } from './DrawReplicator.js'
+import type { ReserveResult } from './ReservationQueue.js'
 import {
-	NOTHING_LENT,
+	EMPTY_LEND_RESPONSE,
 	TokenLending,
-	type LendAnswer,
+	type LendResponse,
 	type LendRequest,
-	type Lenders,
+	type TokenPeers,
 } from './TokenLending.js'
 
 /** What an {@link AllowanceClient} works with. */
 export interface AllowanceClientOptions extends Omit<DrawOptions, 'telling'> {
 	/** Key of the shared record in the store. */
-	readonly key: string
-	readonly lenders: Lenders
+	readonly recordKey: string
+	readonly tokenPeers: TokenPeers
 	/** Addresses of other boxes that keep the record, those to be told of draws first in front. */
-	readonly witnessAddresses: () => readonly string[]
+	readonly replicaAddresses: () => readonly string[]
 	/** Addresses of the boxes to be asked for tokens, in order, where this box does not draw. */
 	readonly lenderAddresses: (account: AccountName) => readonly string[]
 }
 
-const GIVE_BACK_TRIES = 2
-const GIVE_BACK_PAUSE_MS = 200
+const MAX_RETURN_ATTEMPTS = 2
+const RETURN_RETRY_DELAY_MS = 200
 /** Longest wait of another box for a draw, in ms: shorter than its patience with this box. */
-const LEND_WAIT_MS = 70
+const MAX_LEND_DRAW_WAIT_MS = 70
 /** Time to the end of a budget above which tokens are lent in advance, in seconds. */
-const LEND_AHEAD_SECONDS = 8
+const MIN_PREFETCH_SECONDS_LEFT = 8
 /** Part of what is free that is lent in advance at most. */
-const LEND_AHEAD_PART = 0.1
+const MAX_PREFETCH_FRACTION = 0.1
 /** Part of what is asked for in advance that is lent near the end of a budget. */
-const NEAR_END_PART = 0.25
+const NEAR_EXHAUSTION_PREFETCH_FRACTION = 0.25
 
 /** This box's part of the token budgets: draws from the store, and reservations from the draws. */
 export class AllowanceClient {
@@ -46,14 +46,14 @@
 	private readonly record: AllowanceRecord
 	private readonly drawer: AllowanceDrawer
 	private readonly lending: TokenLending
-	private closed = false
+	private isClosed = false
 
 	constructor(private readonly options: AllowanceClientOptions) {
 		this.record = new AllowanceRecord(options)
 		this.state = new AllowanceState({ ...options, record: this.record })
-		const telling = new DrawTelling({
-			others: options.witnessAddresses,
-			tell: (address, told) => options.lenders.tellDraws(address, told),
+		const telling = new DrawReplicator({
+			others: options.replicaAddresses,
+			tell: (address, told) => options.tokenPeers.sendDraws(address, told),
 			sleep: options.sleep,
 		})
 		this.drawer = new AllowanceDrawer({
@@ -62,11 +62,14 @@
 			record: this.record,
 			state: this.state,
 		})
-		this.lending = new TokenLending({ ...options, order: (account) => this.lendersOf(account) })
+		this.lending = new TokenLending({
+			...options,
+			preferredLenders: (account) => this.preferredLenders(account),
+		})
 	}
 
 	/** True where requests need not wait for the store. */
-	get ready(): boolean {
+	get isReady(): boolean {
 		return this.drawer.claimed || !this.options.isLender()
 	}
 
@@ -79,13 +82,13 @@
 	 * Another box told of its draws. False where they are of a history that is over, and before this box has claimed: it
 	 * would not count as one that may know of them.
 	 */
-	remember(told: ToldDraws): boolean {
-		return this.drawer.claimed && this.record.remember(told)
+	receiveDraws(told: ReplicatedDraws): boolean {
+		return this.drawer.claimed && this.record.receiveDraws(told)
 	}
 
 	/** The store came back from a copy. */
-	noteEra(): void {
-		void this.drawer.noteEra()
+	onEraChange(): void {
+		void this.drawer.onEraChange()
 	}
 
 	/** Takes the budgets of a new configuration. A lowered one is frozen until the next draw. */
@@ -100,12 +103,12 @@
 	 */
 	async reserve(account: AccountName, tokens: number, patienceMs: number): Promise<ReserveResult> {
 		const { book } = this.state
-		book.noteDemand(account, tokens, this.options.now())
-		this.drawer.checkPromise()
+		book.recordDemand(account, tokens, this.options.now())
+		this.drawer.updateSpendingLimitExpiry()
 		if (book.reserve(account, tokens)) return 'reserved'
 		if (this.state.isSpent(account, tokens)) return 'spent'
-		if (this.closed || patienceMs <= 0) return 'unknown'
-		const attainable = Math.min(tokens, this.drawer.attainable(account))
+		if (this.isClosed || patienceMs <= 0) return 'unknown'
+		const attainable = Math.min(tokens, this.drawer.attainableTokens(account))
 		if (attainable > book.free(account)) {
 			const result = await this.drawer.waitForDraw(account, attainable, patienceMs)
 			if (attainable === tokens && (result !== 'unknown' || !this.drawer.claimed)) return result
@@ -116,7 +119,8 @@
 		const result = await this.lending.borrow(book, account, tokens)
 		if (result === 'reserved') return result
 		// What was gathered in vain is of more use at a lender.
-		if (!this.drawer.claimed) void this.lending.handOver(book, account, this.state.budgets.version)
+		if (!this.drawer.claimed)
+			void this.lending.transferUnspent(book, account, this.state.budgets.version)
 		return this.state.isSpent(account, tokens) ? 'spent' : result
 	}
 
@@ -124,18 +128,19 @@
 	 * Hands tokens to another box, after a draw where this box holds too little. Undefined once this box
 	 * has given back what it held.
 	 */
-	async lend(account: AccountName, request: LendRequest): Promise<LendAnswer | undefined> {
+	async lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined> {
 		const { book } = this.state
-		if (this.closed) return undefined
-		if (!this.mayLend) return NOTHING_LENT
-		book.noteDemand(account, request.tokens, this.options.now())
-		this.drawer.checkPromise()
-		const needed = await this.setAside(account, request.tokens)
-		const lent = needed < request.tokens ? needed : needed + this.lendAhead(account, request.ahead)
-		const left = this.state.leftAtMost(account)
+		if (this.isClosed) return undefined
+		if (!this.canLend) return EMPTY_LEND_RESPONSE
+		book.recordDemand(account, request.tokens, this.options.now())
+		this.drawer.updateSpendingLimitExpiry()
+		const needed = await this.takeForLoan(account, request.tokens)
+		const lent =
+			needed < request.tokens ? needed : needed + this.lendPrefetch(account, request.ahead)
+		const left = this.state.maxRemaining(account)
 		this.options.log({ name: 'allowance-lent', fields: { account, ...request, lent, left } })
 		const free = Math.max(0, book.free(account))
-		const { nearlySpent, budgets } = this.state
+		const { nearlySpentAccounts: nearlySpent, budgets } = this.state
 		return { lent, left, free, budgetsVersion: budgets.version, nearlySpent }
 	}
 
@@ -150,34 +155,34 @@
 	}
 
 	/** Stops reservations and gives back what is free. */
-	async giveBack(): Promise<void> {
+	async returnUnspent(): Promise<void> {
 		this.state.book.close()
-		this.closed = true
+		this.isClosed = true
 		this.drawer.close()
 		// A write without an answer may still be done: after one, nothing may go to another box.
 		if (!this.drawer.claimed || (await this.record.refresh())) {
-			await this.handOver()
+			await this.transferUnspent()
 			return
 		}
-		for (let tries = 0; this.drawer.claimed && tries < GIVE_BACK_TRIES; tries++) {
+		for (let tries = 0; this.drawer.claimed && tries < MAX_RETURN_ATTEMPTS; tries++) {
 			if (!(await this.drawer.writeDraw(true))) return
-			await this.options.sleep(GIVE_BACK_PAUSE_MS)
+			await this.options.sleep(RETURN_RETRY_DELAY_MS)
 		}
 	}
 
 	/** Takes over tokens of a box that stops while the store can't be reached. */
-	accept(account: AccountName, tokens: number, budgetsVersion: number): boolean {
-		if (this.closed) return false
+	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean {
+		if (this.isClosed) return false
 		this.state.book.borrow(account, tokens, budgetsVersion)
 		return true
 	}
 
 	/** Gives what is free to a box that answers: the store could not be told. */
-	private async handOver(): Promise<void> {
+	private async transferUnspent(): Promise<void> {
 		const { book } = this.state
-		this.drawer.checkPromise()
+		this.drawer.updateSpendingLimitExpiry()
 		for (const account of this.state.accounts)
-			await this.lending.handOver(book, account, this.state.budgets.version)
+			await this.lending.transferUnspent(book, account, this.state.budgets.version)
 	}
 
 	/** What is held of each account, for metrics. */
@@ -185,36 +190,37 @@
 		return this.state.views()
 	}
 
-	private get mayLend(): boolean {
+	private get canLend(): boolean {
 		return this.drawer.claimed || this.options.isLender()
 	}
 
 	/** Counts tokens as spent here, as many of those asked for as can be had. */
-	private async setAside(account: AccountName, tokens: number): Promise<number> {
+	private async takeForLoan(account: AccountName, tokens: number): Promise<number> {
 		const { book } = this.state
-		const attainable = Math.min(tokens, this.drawer.attainable(account))
+		const attainable = Math.min(tokens, this.drawer.attainableTokens(account))
 		if (book.free(account) < attainable && !this.state.isSpent(account, attainable)) {
-			const result = await this.drawer.waitForDraw(account, attainable, LEND_WAIT_MS)
+			const result = await this.drawer.waitForDraw(account, attainable, MAX_LEND_DRAW_WAIT_MS)
 			if (result === 'reserved') return attainable
 		}
 		return book.lend(account, tokens)
 	}
 
 	/** A small part of what is free, while the budget is far from its end. */
-	private lendAhead(account: AccountName, tokens: number): number {
+	private lendPrefetch(account: AccountName, tokens: number): number {
 		const { book } = this.state
 		const view = this.state.view(account)
-		const secondsLeft = this.state.secondsLeft(view)
-		if (secondsLeft < LEND_AHEAD_SECONDS) return 0
-		const wanted = secondsLeft < NEAR_END_SECONDS ? tokens * NEAR_END_PART : tokens
-		const most = Math.max(0, view.free * LEND_AHEAD_PART)
+		const secondsLeft = this.state.secondsToExhaustion(view)
+		if (secondsLeft < MIN_PREFETCH_SECONDS_LEFT) return 0
+		const wanted =
+			secondsLeft < NEAR_EXHAUSTION_SECONDS ? tokens * NEAR_EXHAUSTION_PREFETCH_FRACTION : tokens
+		const most = Math.max(0, view.free * MAX_PREFETCH_FRACTION)
 		const lent = book.lend(account, Math.floor(Math.min(wanted, most)))
-		book.noteDemand(account, lent, this.options.now())
+		book.recordDemand(account, lent, this.options.now())
 		return lent
 	}
 
-	private lendersOf(account: AccountName): readonly string[] {
+	private preferredLenders(account: AccountName): readonly string[] {
 		if (!this.drawer.claimed) return this.options.lenderAddresses(account)
-		return richestBoxes(this.record.row, account, this.options.box).map((draws) => draws.address)
+		return boxesByUnspent(this.record.row, account, this.options.box).map((draws) => draws.address)
 	}
 }
--- a/packages/gateway/src/lib/AllowanceRecord.ts
+++ b/packages/gateway/src/lib/AllowanceRecord.ts
@@ -4,9 +4,9 @@
 	brandId,
 	describeRevision,
 	isNewerRevision,
-	largestOf,
+	maxByAccount,
 	mergeLostDraws,
-	unheardBoxes,
+	boxesWithStaleDraws,
 	type AllowanceRow,
 	type BoxDraws,
 	type BoxName,
@@ -16,13 +16,13 @@
 import type { KeyValueStore, StoreFault, StoreItem } from '@stallwing/store'
 import type { Metrics } from '@stallwing/telemetry'
 import * as E from 'fp-ts/lib/Either.js'
-import type { ToldDraws } from './DrawTelling.js'
-import { readAllowanceRow } from './moneyDocuments.js'
+import type { ReplicatedDraws } from './DrawReplicator.js'
+import { readAllowanceRow } from './allowanceDocuments.js'
 
 /** What an {@link AllowanceRecord} works with. */
 export interface AllowanceRecordOptions {
 	readonly store: KeyValueStore
-	readonly key: string
+	readonly recordKey: string
 	readonly metrics: Metrics
 	/** Steady clock, in ms. */
 	readonly now: () => number
@@ -38,24 +38,24 @@
 	/** Revision at which it was seen; undefined where it is absent. */
 	revision: StoreRevision | undefined
 	/** The last call of this box was answered. */
-	reached = false
+	isReachable = false
 	/** The record as it was before the store came back from a copy, until all boxes have written since. */
-	private lost: AllowanceRow | undefined
+	private rowBeforeRestore: AllowanceRow | undefined
 	/** What other boxes told of their draws, since the record may not be read again before it is lost. */
-	private readonly told = new Map<BoxName, ToldDraws>()
-	private seenAt = Number.NEGATIVE_INFINITY
-	private faultAt = Number.NEGATIVE_INFINITY
+	private readonly replicatedDraws = new Map<BoxName, ReplicatedDraws>()
+	private lastSeenAt = Number.NEGATIVE_INFINITY
+	private lastFaultAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly options: AllowanceRecordOptions) {}
 
 	/** Age of what is known, in ms. */
 	get ageMs(): number {
-		return this.options.now() - this.seenAt
+		return this.options.now() - this.lastSeenAt
 	}
 
 	/** Time since the last call that failed, in ms. */
-	get sinceFaultMs(): number {
-		return this.options.now() - this.faultAt
+	get msSinceFault(): number {
+		return this.options.now() - this.lastFaultAt
 	}
 
 	/** Era of the store. */
@@ -64,13 +64,13 @@
 	}
 
 	/** Boxes that have not written their draws since the store came back from a copy. */
-	get unheard(): readonly BoxName[] {
-		return unheardBoxes(this.row, this.era)
+	get staleBoxes(): readonly BoxName[] {
+		return boxesWithStaleDraws(this.row, this.era)
 	}
 
 	/** Reads the newest state. */
 	async read(): Promise<StoreFault | undefined> {
-		const result = await this.options.store.read(this.options.key)
+		const result = await this.options.store.read(this.options.recordKey)
 		if (E.isLeft(result)) return this.noteFault(result.left)
 		return this.adopt(result.right)
 	}
@@ -78,23 +78,23 @@
 	/** Reads a state that may be seconds old, and is cheap. */
 	async refresh(): Promise<StoreFault | undefined> {
 		if ((this.revision ?? NO_REVISION).era < this.era) return this.read()
-		const result = await this.options.store.readStale(this.options.key)
+		const result = await this.options.store.readStale(this.options.recordKey)
 		if (E.isLeft(result)) return this.noteFault(result.left)
 		if (result.right && isNewerRevision(result.right.revision, this.revision ?? NO_REVISION))
 			return this.adopt(result.right)
-		this.noteSeen()
+		this.markSeen()
 		return undefined
 	}
 
 	/** Writes the next state where nobody wrote since; otherwise takes over what is there. */
 	async write(next: AllowanceRow): Promise<E.Either<StoreFault, 'written' | 'conflict'>> {
 		const value = Buffer.from(JSON.stringify(next))
-		const result = await this.options.store.write(this.options.key, value, this.revision)
+		const result = await this.options.store.write(this.options.recordKey, value, this.revision)
 		if (E.isLeft(result)) return E.left(this.noteFault(result.left))
 		if (result.right.kind === 'written') {
 			this.row = next
 			this.revision = result.right.revision
-			this.noteSeen()
+			this.markSeen()
 			return E.right('written')
 		}
 		const fault = this.adopt(result.right.current)
@@ -102,37 +102,38 @@
 	}
 
 	/** Another box told of draws. False where they are of a history that is over. */
-	remember({ box, revision, raised }: ToldDraws): boolean {
+	receiveDraws({ box, revision, raised }: ReplicatedDraws): boolean {
 		if (revision.era < this.era) return false
-		const before = this.told.get(box)
+		const before = this.replicatedDraws.get(box)
 		const isSameEra = before?.revision.era === revision.era
 		const all = isSameEra ? { ...before.raised, ...raised } : raised
-		this.told.set(box, { box, revision, raised: all })
+		this.replicatedDraws.set(box, { box, revision, raised: all })
 		return true
 	}
 
 	/** What others told is in the record that was seen. */
-	private forgetTold(seen: StoreRevision): void {
-		for (const [box, { revision }] of this.told) {
-			if (revision.era === seen.era && !isNewerRevision(revision, seen)) this.told.delete(box)
+	private dropRecordedDraws(seen: StoreRevision): void {
+		for (const [box, { revision }] of this.replicatedDraws) {
+			if (revision.era === seen.era && !isNewerRevision(revision, seen))
+				this.replicatedDraws.delete(box)
 		}
 	}
 
 	/** The record as it was last seen, with the draws that others told since. */
-	private withTold({ era }: StoreRevision): AllowanceRow {
+	private withReplicatedDraws({ era }: StoreRevision): AllowanceRow {
 		const boxes: Record<BoxName, BoxDraws> = { ...this.row.boxes }
-		for (const { box, raised, revision } of this.told.values()) {
+		for (const { box, raised, revision } of this.replicatedDraws.values()) {
 			if (revision.era !== era) continue
 			const seen = boxes[box] ?? NO_DRAWS
-			boxes[box] = { ...seen, drawn: largestOf(seen.drawn, raised) }
+			boxes[box] = { ...seen, drawn: maxByAccount(seen.drawn, raised) }
 		}
 		return { ...this.row, boxes }
 	}
 
 	/** A call of this box to the store failed. */
 	noteFault(fault: StoreFault): StoreFault {
-		this.reached = false
-		this.faultAt = this.options.now()
+		this.isReachable = false
+		this.lastFaultAt = this.options.now()
 		this.options.metrics.count('stallwing_draw_faults_total', `kind="${fault.kind}"`)
 		this.options.log({
 			name: 'allowance-failed',
@@ -144,19 +145,19 @@
 	private adopt(item: StoreItem | undefined): StoreFault | undefined {
 		// What others drew stands nowhere else: without it this box draws nothing, rather than too much.
 		const row = item ? readAllowanceRow(item.value) : EMPTY_ALLOWANCE_ROW
-		if (!row) return this.noteFault({ kind: 'unreadable', cause: this.options.key })
+		if (!row) return this.noteFault({ kind: 'unreadable', cause: this.options.recordKey })
 		const known = this.revision
 		this.revision = item?.revision
-		if (item) this.forgetTold(item.revision)
-		if (known && known.era < this.era) this.lost = this.withTold(known)
-		this.row = this.lost ? mergeLostDraws(row, this.lost, this.era) : row
-		if (this.unheard.length === 0) this.lost = undefined
-		this.noteSeen()
+		if (item) this.dropRecordedDraws(item.revision)
+		if (known && known.era < this.era) this.rowBeforeRestore = this.withReplicatedDraws(known)
+		this.row = this.rowBeforeRestore ? mergeLostDraws(row, this.rowBeforeRestore, this.era) : row
+		if (this.staleBoxes.length === 0) this.rowBeforeRestore = undefined
+		this.markSeen()
 		return undefined
 	}
 
-	private noteSeen(): void {
-		this.seenAt = this.options.now()
-		this.reached = true
+	private markSeen(): void {
+		this.lastSeenAt = this.options.now()
+		this.isReachable = true
 	}
 }
--- a/packages/gateway/src/lib/AllowanceState.ts
+++ b/packages/gateway/src/lib/AllowanceState.ts
@@ -1,7 +1,7 @@
 import {
-	AllowanceBook,
-	drawnAtMostByOthers,
-	secondsToEnd,
+	AllowanceLedger,
+	maxDrawnByOthers,
+	secondsToExhaustion,
 	spentByOthers,
 	type AccountName,
 	type AllowanceView,
@@ -10,7 +10,7 @@
 	type LogEvent,
 } from '@stallwing/core'
 import type { AllowanceRecord } from './AllowanceRecord.js'
-import type { AccountLeft } from './TokenLending.js'
+import type { RemainingBudget } from './TokenLending.js'
 
 /** What an {@link AllowanceState} works with. */
 export interface AllowanceStateOptions {
@@ -25,11 +25,11 @@
 export type TokensByAccount = Readonly<Record<AccountName, number>>
 
 /** Part of a budget below which boxes that borrow are told how little is left, with each answer. */
-const NEARLY_SPENT_PART = 0.02
+const NEARLY_SPENT_FRACTION = 0.02
 
 /** What this box knows of the token budgets: the configuration, its own book, and the shared record. */
 export class AllowanceState {
-	readonly book = new AllowanceBook()
+	readonly book = new AllowanceLedger()
 	budgets: Budgets = { version: 0, tokens: {} }
 	/** The last budget of each account that ever had one. */
 	private readonly lastBudgets = new Map<AccountName, number>()
@@ -66,7 +66,7 @@
 	}
 
 	/** Boxes that have ever drawn. */
-	get drawers(): number {
+	get drawingBoxCount(): number {
 		return Math.max(1, Object.keys(this.options.record.row.boxes).length)
 	}
 
@@ -74,34 +74,36 @@
 	undrawn(view: AllowanceView): number {
 		const { box, record } = this.options
 		const budget = this.budgets.tokens[view.account] ?? 0
-		const others = drawnAtMostByOthers(record.row, view.account, box, budget, record.era)
+		const others = maxDrawnByOthers(record.row, view.account, box, budget, record.era)
 		return Math.max(0, budget - others - view.drawn)
 	}
 
 	/** Time in which the fleet uses up what is left of an account, in seconds. */
-	secondsLeft(view: AllowanceView): number {
+	secondsToExhaustion(view: AllowanceView): number {
 		const { box, record } = this.options
-		return secondsToEnd(record.row, box, view, this.undrawn(view))
+		return secondsToExhaustion(record.row, box, view, this.undrawn(view))
 	}
 
 	/** What may be left of a budget, wherever it lies; Infinity where that can't be told. */
-	leftAtMost(account: AccountName): number {
+	maxRemaining(account: AccountName): number {
 		const { box, record } = this.options
 		const budget = this.budgets.tokens[account]
 		if (budget === undefined || record.row.budgetsVersion > this.budgets.version)
 			return Number.POSITIVE_INFINITY
-		return budget - spentByOthers(record.row, account, box) - this.view(account).floor
+		return budget - spentByOthers(record.row, account, box) - this.view(account).committed
 	}
 
 	/** Accounts of which little may be left, wherever it lies. */
-	get nearlySpent(): readonly AccountLeft[] {
+	get nearlySpentAccounts(): readonly RemainingBudget[] {
 		return this.accounts
-			.map((account): AccountLeft => ({ account, left: this.leftAtMost(account) }))
-			.filter(({ account, left }) => left < NEARLY_SPENT_PART * (this.budgets.tokens[account] ?? 0))
+			.map((account): RemainingBudget => ({ account, left: this.maxRemaining(account) }))
+			.filter(
+				({ account, left }) => left < NEARLY_SPENT_FRACTION * (this.budgets.tokens[account] ?? 0),
+			)
 	}
 
 	/** True where what is left of a budget can't hold so many tokens, wherever it lies. */
 	isSpent(account: AccountName, tokens: number): boolean {
-		return tokens > this.leftAtMost(account)
+		return tokens > this.maxRemaining(account)
 	}
 }
--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -3,10 +3,10 @@
 	exhaustive,
 	type AttemptHandle,
 	type AttemptResult,
-	type AttemptVerdict,
-	type Place,
+	type TargetOutcome,
+	type Placement,
 } from '@stallwing/core'
-import { isFramed, type AnswerWriter } from './AnswerWriter.js'
+import { isSelfDelimiting, type ResponseWriter } from './ResponseWriter.js'
 import type { CallerRequest } from './CallerRequest.js'
 import type { GatewayContext } from './GatewayContext.js'
 import { isSuccess } from './isSuccess.js'
@@ -19,13 +19,13 @@
 } from './readTargetNotice.js'
 import {
 	sendToTarget,
-	type AnswerHead,
-	type AnswerListener,
+	type ResponseHead,
+	type ResponseListener,
 	type TargetCall,
 	type TargetFailure,
 	type TargetRequest,
 } from './sendToTarget.js'
-import { takeTargetNotice } from './takeTargetNotice.js'
+import { applyTargetNotice } from './applyTargetNotice.js'
 
 /** How an attempt ended, with what may be passed on. */
 export interface AttemptEnd {
@@ -33,74 +33,79 @@
 	readonly cause: string
 	readonly status: number
 	/** The other side closed the connection in the middle. */
-	readonly wasClosed: boolean
+	readonly closedByTarget: boolean
 	/** A whole answer that has not been passed on yet. */
-	readonly whole: { readonly head: AnswerHead; readonly body: Buffer } | undefined
+	readonly completeResponse: { readonly head: ResponseHead; readonly body: Buffer } | undefined
 }
 
 /** How long an attempt may stay silent before another target is asked. */
-interface Patience {
+interface ResponseTimeouts {
 	readonly firstByteMs: number
-	readonly gapMs: number
+	readonly idleMs: number
 }
 
-const EVENT_STREAM = 'text/event-stream'
-const MOST_BUFFERED_BYTES = 16 * 1024 * 1024
-const PLAIN_PATIENCE_MS = 150
-const STREAM_PATIENCE_MS = 800
-const STREAM_GAP_MS = 1_000
+const EVENT_STREAM_TYPE = 'text/event-stream'
+const MAX_BUFFERED_RESPONSE_BYTES = 16 * 1024 * 1024
+const MIN_FIRST_BYTE_TIMEOUT_MS = 150
+const MIN_STREAM_FIRST_BYTE_TIMEOUT_MS = 800
+const IDLE_TIMEOUT_MS = 1_000
 /** Multiple of the expected time after which an answer is overdue. */
-const OVERDUE_FACTOR = 6
+const FIRST_BYTE_TIMEOUT_FACTOR = 6
 
 /** One request at one target. */
-export class Attempt implements AnswerListener {
+export class Attempt implements ResponseListener {
 	private call: TargetCall | undefined
 	private handle: AttemptHandle | undefined
 	private resolve: ((end: AttemptEnd) => void) | undefined
-	private head: AnswerHead | undefined
+	private responseHead: ResponseHead | undefined
 	/** What the answer says of its target; undefined where none came. */
 	private notice: TargetNotice | undefined
 	private splitter: EventSplitter | undefined
 	private chunks: Buffer[] = []
-	private bytes = 0
-	private silence: NodeJS.Timeout | undefined
+	private bufferedBytes = 0
+	private timeout: NodeJS.Timeout | undefined
 	private startedAt = 0
 	private firstByteMs = -1
 	/** This box broke the answer off. */
-	private gaveUp = false
+	private isAborted = false
 	/** Bytes of the request may have left this box. */
-	private mayHaveLeft = false
-	private over = false
+	private mayHaveSentBytes = false
+	private hasEnded = false
 
 	constructor(
 		private readonly context: GatewayContext,
 		private readonly request: CallerRequest,
-		private readonly place: Place,
-		private readonly answer: AnswerWriter,
+		private readonly placement: Placement,
+		private readonly responseWriter: ResponseWriter,
 		/** Another target may be asked when this one stays silent. */
-		private readonly mayMoveOn: boolean,
+		private readonly mayRetryElsewhere: boolean,
 		private readonly content: RequestContent,
 		/** True where the caller left, looked up after a wait of so many ms. */
-		private readonly hasLeft: (waitedMs: number) => Promise<boolean>,
+		private readonly hasCallerDisconnected: (waitedMs: number) => Promise<boolean>,
 	) {}
 
 	/** Sends the request and passes on the events of its answer. Never rejects. */
 	run(message: TargetRequest): Promise<AttemptEnd> {
 		this.startedAt = this.context.now()
-		this.handle = this.context.board.begin(this.place, this.request.work, this.startedAt)
+		this.handle = this.context.registry.beginAttempt(
+			this.placement,
+			this.request.work,
+			this.startedAt,
+		)
 		return new Promise((resolve) => {
 			this.resolve = resolve
-			this.watchSilence(this.patience().firstByteMs)
-			this.call = sendToTarget(this.context.pool(this.place.target), message, this)
+			this.startTimeout(this.timeouts().firstByteMs)
+			this.call = sendToTarget(this.context.poolFor(this.placement.target), message, this)
 		})
 	}
 
 	/** Closes the connection: the caller left, or the time is over. `run` stays open. */
 	cancel(): void {
-		if (this.over) return
-		const overdue = this.head === undefined && this.elapsed() > this.patience().firstByteMs
-		if (overdue) this.dropIdle()
-		this.close(overdue ? 'failed' : 'cancelled')
+		if (this.hasEnded) return
+		const overdue =
+			this.responseHead === undefined && this.elapsedMs() > this.timeouts().firstByteMs
+		if (overdue) this.closeIdleConnections()
+		this.release(overdue ? 'failed' : 'cancelled')
 		this.call?.abort()
 	}
 
@@ -108,46 +113,46 @@
 	 * What has changed while a connection was made counts: a caller that left, an operator's word, a target that leaves.
 	 */
 	async maySend(): Promise<boolean> {
-		if (await this.hasLeft(this.elapsed())) return false
-		this.mayHaveLeft = !this.over && (this.handle?.maySend(this.context.now()) ?? false)
-		return this.mayHaveLeft
+		if (await this.hasCallerDisconnected(this.elapsedMs())) return false
+		this.mayHaveSentBytes = !this.hasEnded && (this.handle?.maySend(this.context.now()) ?? false)
+		return this.mayHaveSentBytes
 	}
 
-	onHead(head: AnswerHead): boolean {
-		const { context, handle, place, request } = this
+	onHead(head: ResponseHead): boolean {
+		const { context, handle, placement: place, request } = this
 		const now = context.now()
-		if (!this.belongs(head)) return false
+		if (!this.isResponseToThisRequest(head)) return false
 		handle?.noteByte(now)
 		this.firstByteMs = now - this.startedAt
-		this.head = head
+		this.responseHead = head
 		this.notice = readTargetNotice(head, context.dialect)
-		context.newHeaders.note(head, place.target)
-		if (handle) takeTargetNotice(context, { handle, place, request }, this.notice)
-		if (isSuccess(head.status) && isEventStream(head)) this.beginStream(head)
-		this.watchSilence(this.patience().gapMs)
+		context.unknownHeaders.inspect(head, place.target)
+		if (handle) applyTargetNotice(context, { handle, place, request }, this.notice)
+		if (isSuccess(head.status) && isEventStream(head)) this.startStream(head)
+		this.startTimeout(this.timeouts().idleMs)
 		return true
 	}
 
 	onData(chunk: Buffer): void {
 		this.handle?.noteByte(this.context.now())
-		this.silence?.refresh()
+		this.timeout?.refresh()
 		if (this.splitter) {
-			this.passEvents(this.splitter, chunk)
+			this.forwardEvents(this.splitter, chunk)
 			return
 		}
-		this.bytes += chunk.length
-		if (this.bytes > MOST_BUFFERED_BYTES) this.breakOff('answer too large')
+		this.bufferedBytes += chunk.length
+		if (this.bufferedBytes > MAX_BUFFERED_RESPONSE_BYTES) this.abort('answer too large')
 		else this.chunks.push(chunk)
 	}
 
 	onEnd(): void {
-		const head = this.head
-		if (!head || this.over) return
-		if (this.splitter?.insideEvent) {
+		const head = this.responseHead
+		if (!head || this.hasEnded) return
+		if (this.splitter?.hasPartialEvent) {
 			this.onFailure({ kind: 'broken', cause: 'ended inside an event' })
 			return
 		}
-		if (this.splitter && this.answer.framed && !isFramed(head)) {
+		if (this.splitter && this.responseWriter.isSelfDelimiting && !isSelfDelimiting(head)) {
 			this.onFailure({ kind: 'broken', cause: 'unframed end of a framed stream' })
 			return
 		}
@@ -155,7 +160,7 @@
 			this.end('good', { kind: 'answered', failed: false }, 'stream ended', undefined)
 			return
 		}
-		this.endWhole(head, Buffer.concat(this.chunks, this.bytes))
+		this.endWithCompleteResponse(head, Buffer.concat(this.chunks, this.bufferedBytes))
 	}
 
 	onFailure({ kind, cause }: TargetFailure): void {
@@ -164,7 +169,7 @@
 				this.end('failed', { kind: 'unknown' }, cause, undefined)
 				return
 			case 'not-reached':
-				this.mayHaveLeft = false
+				this.mayHaveSentBytes = false
 				this.end('unreachable', { kind: 'not-sent' }, cause, undefined)
 				return
 			case 'withdrawn':
@@ -175,7 +180,7 @@
 		}
 	}
 
-	private endWhole(head: AnswerHead, body: Buffer): void {
+	private endWithCompleteResponse(head: ResponseHead, body: Buffer): void {
 		const { dialect } = this.context
 		const wrongTarget = head.status === dialect.wrongTargetStatus
 		if (wrongTarget || head.headers[dialect.headers.notRun] !== undefined) {
@@ -189,104 +194,113 @@
 	}
 
 	/** True where the answer is one of this target to this request. */
-	private belongs(head: AnswerHead): boolean {
+	private isResponseToThisRequest(head: ResponseHead): boolean {
 		const { requestId, mark } = this.context.dialect.headers
 		const id = head.headers[requestId]
 		if (id !== undefined && id !== this.request.id) return false
 		return !isSuccess(head.status) || (id !== undefined && head.headers[mark] !== undefined)
 	}
 
-	private beginStream(head: AnswerHead): void {
+	private startStream(head: ResponseHead): void {
 		this.splitter = new EventSplitter()
-		if (!this.answer.begun) this.answer.beginStream(head)
+		if (!this.responseWriter.isStreamStarted) this.responseWriter.startStream(head)
 	}
 
-	private passEvents(splitter: EventSplitter, chunk: Buffer): void {
+	private forwardEvents(splitter: EventSplitter, chunk: Buffer): void {
 		let roomy = true
 		for (const event of splitter.push(chunk)) {
-			const last = this.answer.lastEvent
+			const last = this.responseWriter.lastEventId
 			if (event.id !== undefined && last !== undefined && event.id <= last) {
-				this.breakOff(`event ${event.id} after ${last}`)
+				this.abort(`event ${event.id} after ${last}`)
 				return
 			}
-			roomy = this.answer.event(event)
+			roomy = this.responseWriter.sendEvent(event)
 		}
 		if (roomy) return
 		this.call?.pause()
-		this.answer.onDrain(() => this.call?.resume())
+		this.responseWriter.onDrain(() => this.call?.resume())
 	}
 
-	private breakOff(cause: string): void {
-		this.gaveUp = true
+	private abort(cause: string): void {
+		this.isAborted = true
 		this.call?.abort()
 		this.onFailure({ kind: 'broken', cause })
 	}
 
-	private watchSilence(ms: number): void {
-		clearTimeout(this.silence)
-		if (!this.mayMoveOn) return
-		this.silence = setTimeout(() => this.giveUpSilent(), ms)
+	private startTimeout(ms: number): void {
+		clearTimeout(this.timeout)
+		if (!this.mayRetryElsewhere) return
+		this.timeout = setTimeout(() => this.handleTimeout(), ms)
 	}
 
-	private giveUpSilent(): void {
-		this.dropIdle()
-		this.breakOff('silent')
+	private handleTimeout(): void {
+		this.closeIdleConnections()
+		this.abort('silent')
 	}
 
 	/** Connections that were open for long may go silent together, while new ones work. */
-	private dropIdle(): void {
-		this.context.pool(this.place.target).dropIdle()
+	private closeIdleConnections(): void {
+		this.context.poolFor(this.placement.target).closeIdle()
 	}
 
-	private patience(): Patience {
-		const overdue = OVERDUE_FACTOR * this.place.cost.expectedMs
+	private timeouts(): ResponseTimeouts {
+		const overdue = FIRST_BYTE_TIMEOUT_FACTOR * this.placement.cost.expectedMs
 		if (this.request.route.kind !== 'stream')
-			return { firstByteMs: Math.max(PLAIN_PATIENCE_MS, overdue), gapMs: STREAM_GAP_MS }
-		return { firstByteMs: Math.max(STREAM_PATIENCE_MS, overdue), gapMs: STREAM_GAP_MS }
+			return { firstByteMs: Math.max(MIN_FIRST_BYTE_TIMEOUT_MS, overdue), idleMs: IDLE_TIMEOUT_MS }
+		return {
+			firstByteMs: Math.max(MIN_STREAM_FIRST_BYTE_TIMEOUT_MS, overdue),
+			idleMs: IDLE_TIMEOUT_MS,
+		}
 	}
 
 	private end(
-		verdict: AttemptVerdict,
+		verdict: TargetOutcome,
 		outcome: AttemptResult,
 		cause: string,
-		whole: AttemptEnd['whole'],
+		whole: AttemptEnd['completeResponse'],
 	): void {
-		if (this.over) return
-		this.close(verdict)
+		if (this.hasEnded) return
+		this.release(verdict)
 		this.context.metrics.count('stallwing_attempts_total', `outcome="${outcome.kind}"`)
 		this.context.log({
 			name: 'attempt-ended',
 			fields: {
 				request: this.request.id,
-				target: this.place.target.name,
+				target: this.placement.target.name,
 				outcome: outcome.kind,
 				cause,
-				tookMs: Math.round(this.elapsed()),
+				tookMs: Math.round(this.elapsedMs()),
 				firstByteMs: Math.round(this.firstByteMs),
-				expectedMs: Math.round(this.place.cost.expectedMs),
-				events: this.answer.events,
+				expectedMs: Math.round(this.placement.cost.expectedMs),
+				events: this.responseWriter.eventCount,
 				fingerprint: outcome.kind === 'unknown' ? this.content.fingerprint : '',
 				saidLeaving: this.notice?.leaving ?? false,
 				saidBackoff: this.notice ? describeBackoff(this.notice.backoff) : '',
 				saidRate: this.notice ? describeRate(this.notice.rate) : '',
 			},
 		})
-		const wasClosed = outcome.kind === 'unknown' && !this.gaveUp
-		this.resolve?.({ outcome, cause, status: this.head?.status ?? 0, wasClosed, whole })
+		const wasClosed = outcome.kind === 'unknown' && !this.isAborted
+		this.resolve?.({
+			outcome,
+			cause,
+			status: this.responseHead?.status ?? 0,
+			closedByTarget: wasClosed,
+			completeResponse: whole,
+		})
 	}
 
-	private close(verdict: AttemptVerdict): void {
-		this.over = true
-		clearTimeout(this.silence)
-		if (!this.mayHaveLeft) this.handle?.noteUnsent()
+	private release(verdict: TargetOutcome): void {
+		this.hasEnded = true
+		clearTimeout(this.timeout)
+		if (!this.mayHaveSentBytes) this.handle?.noteUnsent()
 		this.handle?.end(verdict, this.context.now())
 	}
 
-	private elapsed(): number {
+	private elapsedMs(): number {
 		return this.context.now() - this.startedAt
 	}
 }
 
-function isEventStream(head: AnswerHead): boolean {
-	return String(head.headers['content-type'] ?? '').startsWith(EVENT_STREAM)
+function isEventStream(head: ResponseHead): boolean {
+	return String(head.headers['content-type'] ?? '').startsWith(EVENT_STREAM_TYPE)
 }
--- a/packages/gateway/src/lib/CallerRequest.ts
+++ b/packages/gateway/src/lib/CallerRequest.ts
@@ -3,7 +3,7 @@
 	type Account,
 	type Route,
 	type ServiceName,
-	type StatedWork,
+	type DeclaredWork,
 	type TrafficIndex,
 } from '@stallwing/core'
 import * as E from 'fp-ts/lib/Either.js'
@@ -18,7 +18,7 @@
 	readonly route: Route
 	readonly service: ServiceName
 	readonly account: Account | undefined
-	readonly work: StatedWork | undefined
+	readonly work: DeclaredWork | undefined
 	/** Rank for the target; 0 is the most urgent. */
 	readonly rank: number
 	/** How long the caller waits from the arrival of the request; undefined where it does not say. */
@@ -42,7 +42,7 @@
 }
 
 /** Headers that concern one connection only. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-connection',
@@ -55,7 +55,7 @@
 	'expect',
 ])
 
-const MOST_ID_CHARS = 200
+const MAX_REQUEST_ID_CHARS = 200
 const WHOLE_NUMBER = /^\d{1,12}$/
 
 /** Checks a request against the configuration in force. */
@@ -70,21 +70,22 @@
 	const counts = countHeaders(message)
 	const single = (name: string): string | undefined => singleHeader(message, counts, name)
 	const id = single(names.requestId)
-	if (id === undefined || id.length > MOST_ID_CHARS) return reject('malformed', names.requestId)
+	if (id === undefined || id.length > MAX_REQUEST_ID_CHARS)
+		return reject('malformed', names.requestId)
 	if (counts.get('host') !== 1) return reject('malformed', 'host')
-	if (headerBytes(message) > traffic.config.limits.headerBytes)
+	if (headerBytes(message) > traffic.config.limits.maxHeaderBytes)
 		return reject('header-too-large', 'headers')
 	const route = traffic.routeOf(hostOf(message), pathOf(path))
 	if (!route) return reject('no-route', `${hostOf(message)} ${pathOf(path)}`)
 	const key = dialect.readKey(single)
 	const account = key === undefined ? undefined : traffic.accountOfKey(key)
-	if (traffic.asksForKeys && !route.open && !account) return reject('no-key', route.name)
+	if (traffic.requiresKeys && !route.isPublic && !account) return reject('no-key', route.name)
 	const deadline = message.headers[names.deadline]
 	if (deadline !== undefined && !WHOLE_NUMBER.test(String(deadline)))
 		return reject('malformed', names.deadline)
 	const work = dialect.readWork(single)
 	if (E.isLeft(work)) return reject('malformed', work.left.what)
-	if (route.statesWork && !work.right) return reject('malformed', 'stated work')
+	if (route.requiresDeclaredWork && !work.right) return reject('malformed', 'stated work')
 	return E.right({
 		id,
 		method: message.method ?? 'GET',
@@ -93,10 +94,10 @@
 		service: traffic.serviceOf(route, id),
 		account,
 		work: work.right,
-		rank: Math.min(dialect.lowestRank, traffic.rankOf(route, account)),
+		rank: Math.min(dialect.leastUrgentRank, traffic.rankOf(route, account)),
 		deadlineMs: deadline === undefined ? undefined : Number(deadline),
 		lastEvent: single(names.lastEvent),
-		headers: headersToPassOn(message, dialect),
+		headers: headersToForward(message, dialect),
 	})
 }
 
@@ -140,29 +141,29 @@
 	return query < 0 ? url : url.slice(0, query)
 }
 
-function headersToPassOn(message: IncomingMessage, dialect: Dialect): string[] {
+function headersToForward(message: IncomingMessage, dialect: Dialect): string[] {
 	const listed = String(message.headers.connection ?? '')
 		.toLowerCase()
 		.split(',')
 		.map((name) => name.trim())
-	return passOn(
+	return filterHeaders(
 		message.rawHeaders,
-		(name) => !dialect.fleetHeaders.has(name) && !listed.includes(name),
+		(name) => !dialect.reservedHeaders.has(name) && !listed.includes(name),
 	)
 }
 
 /** Headers of an answer that may be passed on: names and values in turn. */
-export function answerHeadersToPassOn(rawHeaders: readonly string[]): string[] {
-	return passOn(rawHeaders, () => true)
+export function responseHeadersToForward(rawHeaders: readonly string[]): string[] {
+	return filterHeaders(rawHeaders, () => true)
 }
 
 /** Headers that do not concern one connection or frame a body, and that `keeps` (lower case) lets by. */
-function passOn(rawHeaders: readonly string[], keeps: (name: string) => boolean): string[] {
+function filterHeaders(rawHeaders: readonly string[], keeps: (name: string) => boolean): string[] {
 	const passed: string[] = []
 	for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
 		const name = rawHeaders[i] ?? ''
 		const lower = name.toLowerCase()
-		if (CONNECTION_HEADERS.has(lower) || lower === 'content-length' || !keeps(lower)) continue
+		if (HOP_BY_HOP_HEADERS.has(lower) || lower === 'content-length' || !keeps(lower)) continue
 		passed.push(name, rawHeaders[i + 1] ?? '')
 	}
 	return passed
--- a/packages/gateway/src/lib/ConnectionPool.ts
+++ b/packages/gateway/src/lib/ConnectionPool.ts
@@ -2,7 +2,7 @@
 import { parseAddress } from './parseAddress.js'
 
 /** Times of a {@link ConnectionPool}, in ms. */
-export interface PoolTimes {
+export interface PoolTimeouts {
 	readonly connectMs: number
 	/** Rest of a connection after an answer before it is used again: a late extra answer shows then. */
 	readonly settleMs: number
@@ -14,9 +14,9 @@
 
 interface IdleConnection {
 	readonly socket: Socket
-	readonly since: number
-	readonly until: number
-	readonly drop: () => void
+	readonly idleSince: number
+	readonly expiresAt: number
+	readonly discard: () => void
 }
 
 /** What became of a connection that was asked for; `refused`: no process listens there. */
@@ -27,19 +27,19 @@
 /** Connections of this box to one target. A connection serves one request at a time. */
 export class ConnectionPool {
 	private idle: IdleConnection[] = []
-	private open = 0
-	private closed = false
+	private openCount = 0
+	private isClosed = false
 
 	constructor(
 		private readonly address: string,
-		private readonly times: PoolTimes,
+		private readonly timeouts: PoolTimeouts,
 		private readonly now: () => number,
 		private readonly onOpened: () => void,
 	) {}
 
 	/** Connections in use or idle. */
 	get size(): number {
-		return this.open
+		return this.openCount
 	}
 
 	get idleCount(): number {
@@ -65,8 +65,10 @@
 	/** Takes a connection back after a whole answer. `idleTold` is what the target told, in s. */
 	release(socket: Socket, idleTold: number | undefined): void {
 		const idleMs =
-			idleTold === undefined ? this.times.idleMs : idleTold * SECOND_MS - this.times.idleMarginMs
-		if (this.closed || socket.destroyed || idleMs <= 0) {
+			idleTold === undefined
+				? this.timeouts.idleMs
+				: idleTold * SECOND_MS - this.timeouts.idleMarginMs
+		if (this.isClosed || socket.destroyed || idleMs <= 0) {
 			socket.destroy()
 			return
 		}
@@ -77,38 +79,38 @@
 		socket.on('data', drop)
 		socket.on('end', drop)
 		const now = this.now()
-		this.idle.push({ socket, since: now, until: now + idleMs, drop })
+		this.idle.push({ socket, idleSince: now, expiresAt: now + idleMs, discard: drop })
 	}
 
 	/** Closes idle connections whose time is over. */
-	sweep(): void {
+	closeExpired(): void {
 		const now = this.now()
-		const [kept, over] = partition(this.idle, (entry) => entry.until > now)
+		const [kept, over] = partition(this.idle, (entry) => entry.expiresAt > now)
 		this.idle = kept
 		for (const entry of over) entry.socket.destroy()
 	}
 
 	/** Closes idle connections: one of this pool stayed silent, and the others may have gone silent with it. */
-	dropIdle(): void {
+	closeIdle(): void {
 		for (const entry of this.idle) entry.socket.destroy()
 		this.idle = []
 	}
 
 	/** Closes idle connections; those in use close when they are released. */
 	close(): void {
-		this.closed = true
-		this.dropIdle()
+		this.isClosed = true
+		this.closeIdle()
 	}
 
 	private takeIdle(): Socket | undefined {
-		this.sweep()
+		this.closeExpired()
 		const now = this.now()
 		for (let i = this.idle.length - 1; i >= 0; i--) {
 			const entry = this.idle[i]
-			if (!entry || now - entry.since < this.times.settleMs) continue
+			if (!entry || now - entry.idleSince < this.timeouts.settleMs) continue
 			this.idle.splice(i, 1)
-			entry.socket.off('data', entry.drop)
-			entry.socket.off('end', entry.drop)
+			entry.socket.off('data', entry.discard)
+			entry.socket.off('end', entry.discard)
 			return entry.socket
 		}
 		return undefined
@@ -117,15 +119,15 @@
 	private connect(): Promise<Socket> {
 		const { host, port } = parseAddress(this.address)
 		const socket = connect({ host, port, noDelay: true })
-		this.open++
-		socket.once('close', () => this.forget(socket))
+		this.openCount++
+		socket.once('close', () => this.remove(socket))
 		return new Promise((resolve, reject) => {
 			const fail = (error: Error): void => {
 				clearTimeout(timer)
 				socket.destroy()
 				reject(error)
 			}
-			const timer = setTimeout(() => fail(new Error('connect timed out')), this.times.connectMs)
+			const timer = setTimeout(() => fail(new Error('connect timed out')), this.timeouts.connectMs)
 			socket.once('error', fail)
 			socket.once('connect', () => {
 				clearTimeout(timer)
@@ -137,8 +139,8 @@
 		})
 	}
 
-	private forget(socket: Socket): void {
-		this.open--
+	private remove(socket: Socket): void {
+		this.openCount--
 		this.idle = this.idle.filter((entry) => entry.socket !== socket)
 	}
 }
--- a/packages/gateway/src/lib/CordonDirectory.test.ts
+++ b/packages/gateway/src/lib/CordonDirectory.test.ts
@@ -1,6 +1,13 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { FLEETS, SEEDS, TEST_TIMEOUT_MS, behindUntil, lateCuts, startFleet } from './fleetCuts.js'
-import { CONTACT_MS, CORDON_PREFIX, type TestFleet } from './testFleet.js'
+import {
+	FLEETS,
+	SEEDS,
+	TEST_TIMEOUT_MS,
+	staleUntilMs,
+	findLateRecoveries,
+	startFleet,
+} from './testPartitions.js'
+import { MAX_RECOVERY_MS, CORDON_PREFIX, type TestFleet } from './testFleet.js'
 
 /** The zone of the targets of a test fleet. */
 const CORDON = `${CORDON_PREFIX}zone`
@@ -41,20 +48,22 @@
 			for (const seed of SEEDS) {
 				const fleet = await startFleet(zones, seed)
 				cordon(fleet)
-				expect(await behindUntil(fleet, boxesOf(fleet), uses)).toBeLessThan(USUAL_MS)
+				expect(await staleUntilMs(fleet, boxesOf(fleet), uses)).toBeLessThan(USUAL_MS)
 				reopen(fleet)
-				expect(await behindUntil(fleet, boxesOf(fleet), avoids)).toBeLessThan(USUAL_MS)
+				expect(await staleUntilMs(fleet, boxesOf(fleet), avoids)).toBeLessThan(USUAL_MS)
 				fleet.stop()
 			}
 		}
 	})
 
 	it('lets no box send to a zone that was cordoned while it was cut off, once that is back in touch', async () => {
-		expect(await lateCuts({ change: cordon, isBehind: uses })).toEqual([])
+		expect(await findLateRecoveries({ change: cordon, isStale: uses })).toEqual([])
 	})
 
 	it('lets boxes send to a zone again that was given back while they were cut off', async () => {
-		expect(await lateCuts({ before: cordon, change: reopen, isBehind: avoids })).toEqual([])
+		expect(await findLateRecoveries({ before: cordon, change: reopen, isStale: avoids })).toEqual(
+			[],
+		)
 	})
 
 	it('ends with the last word where a zone is cordoned and given back in quick succession', async () => {
@@ -66,9 +75,9 @@
 				reopen(fleet)
 				await vi.advanceTimersByTimeAsync(70)
 			}
-			expect(await behindUntil(fleet, boxesOf(fleet), avoids)).toBeLessThan(USUAL_MS)
+			expect(await staleUntilMs(fleet, boxesOf(fleet), avoids)).toBeLessThan(USUAL_MS)
 			cordon(fleet)
-			expect(await behindUntil(fleet, boxesOf(fleet), uses)).toBeLessThan(USUAL_MS)
+			expect(await staleUntilMs(fleet, boxesOf(fleet), uses)).toBeLessThan(USUAL_MS)
 			fleet.stop()
 		}
 	})
@@ -78,10 +87,10 @@
 			const fleet = await startFleet(zones, 2)
 			cordon(fleet)
 			fleet.store.compact()
-			expect(await behindUntil(fleet, boxesOf(fleet), uses)).toBeLessThan(CONTACT_MS)
+			expect(await staleUntilMs(fleet, boxesOf(fleet), uses)).toBeLessThan(MAX_RECOVERY_MS)
 			reopen(fleet)
 			fleet.store.compact()
-			expect(await behindUntil(fleet, boxesOf(fleet), avoids)).toBeLessThan(CONTACT_MS)
+			expect(await staleUntilMs(fleet, boxesOf(fleet), avoids)).toBeLessThan(MAX_RECOVERY_MS)
 			fleet.stop()
 		}
 	})
@@ -92,7 +101,7 @@
 			cordon(fleet)
 			await vi.advanceTimersByTimeAsync(2_000)
 			for (const box of boxesOf(fleet)) fleet.restart(box)
-			expect(await behindUntil(fleet, boxesOf(fleet), uses)).toBe(0)
+			expect(await staleUntilMs(fleet, boxesOf(fleet), uses)).toBe(0)
 			expect(boxesOf(fleet).every((box) => fleet.versionOf(box) !== undefined)).toBe(true)
 			fleet.stop()
 		}
@@ -121,9 +130,9 @@
 		fleet.store.put(`${CORDON_PREFIX}nowhere`, 'no JSON')
 		await vi.advanceTimersByTimeAsync(USUAL_MS)
 		expect(fleet.uses('east-1', 'c')).toBe(true)
-		const refused = fleet.logged.filter((event) => event.name === 'cordon-refused')
+		const refused = fleet.cordonEvents.filter((event) => event.name === 'cordon-refused')
 		expect(refused.map((event) => event.fields.key)).toEqual([`${CORDON_PREFIX}a/b`, CORDON_PREFIX])
-		const taken = fleet.logged.filter((event) => event.name === 'zone-cordoned')
+		const taken = fleet.cordonEvents.filter((event) => event.name === 'zone-cordoned')
 		expect(taken.map((event) => event.fields)).toMatchObject([
 			{ zone: 'nowhere', hasTargets: false },
 		])
--- a/packages/gateway/src/lib/CordonDirectory.ts
+++ b/packages/gateway/src/lib/CordonDirectory.ts
@@ -3,7 +3,7 @@
 	describeRevision,
 	type LogEvent,
 	type StoreRevision,
-	type TargetBoard,
+	type TargetRegistry,
 	type ZoneCordon,
 	type ZoneName,
 } from '@stallwing/core'
@@ -14,7 +14,7 @@
 export interface CordonDirectoryOptions {
 	/** Below it lies one item for each cordoned zone, under the name of the zone. */
 	readonly prefix: string
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	/** Time since the store last vouched for the list, in ms; Infinity: never. */
 	readonly listAgeMs: () => number
 	/** Steady clock, in ms. */
@@ -23,7 +23,7 @@
 }
 
 /** Time for which a cordon is kept that a store lacks which came back from a copy, in ms. */
-const KEPT_MS = 3_000
+const CORDON_RETENTION_MS = 3_000
 
 /**
  * Takes the operator's cordons of availability zones from the store to the board. The key alone says it: what
@@ -32,54 +32,54 @@
  */
 export class CordonDirectory {
 	/** Cordons of the newest list. */
-	private listed: readonly ZoneCordon[] = []
+	private listedCordons: readonly ZoneCordon[] = []
 	/** Cordons that hold, those that are kept for a moment included. */
-	private held: readonly ZoneCordon[] = []
+	private activeCordons: readonly ZoneCordon[] = []
 	private era = 0
-	private keptUntil = Number.NEGATIVE_INFINITY
+	private retainUntil = Number.NEGATIVE_INFINITY
 	/** Keys that name no zone and were logged. */
-	private refused = new Set<string>()
+	private invalidKeys = new Set<string>()
 
 	constructor(private readonly options: CordonDirectoryOptions) {}
 
 	/** Takes all items of the list, as known up to a revision; those that are no cordons are left aside. */
-	takeItems(items: ReadonlyMap<string, StoreItem>, at: StoreRevision): void {
+	applyItems(items: ReadonlyMap<string, StoreItem>, at: StoreRevision): void {
 		const { prefix } = this.options
-		if (at.era !== this.era) this.keptUntil = this.options.now() + KEPT_MS
+		if (at.era !== this.era) this.retainUntil = this.options.now() + CORDON_RETENTION_MS
 		this.era = at.era
 		const cordons: ZoneCordon[] = []
 		const refused = new Set<string>()
 		for (const { key, revision } of items.values()) {
 			if (!key.startsWith(prefix)) continue
-			const zone = zoneOf(key.slice(prefix.length))
+			const zone = parseZone(key.slice(prefix.length))
 			if (zone) cordons.push({ zone, revision })
 			else refused.add(key)
 		}
-		this.listed = cordons
-		this.hold()
-		this.logRefused(refused)
+		this.listedCordons = cordons
+		this.updateActiveCordons()
+		this.logInvalidKeys(refused)
 	}
 
 	/** Gives up what was kept for a moment. To be called some times a second. */
 	maintain(): void {
-		if (this.held.length > this.listed.length) this.hold()
+		if (this.activeCordons.length > this.listedCordons.length) this.updateActiveCordons()
 	}
 
 	/** A store that came back from a copy may lack a cordon, until the operator has written it again. */
-	private hold(): void {
-		const { board, now } = this.options
-		const zones = new Set(this.listed.map(({ zone }) => zone))
-		const missing = this.held.filter(({ zone, revision }) => {
-			return !zones.has(zone) && revision.era !== this.era && now() < this.keptUntil
+	private updateActiveCordons(): void {
+		const { registry: board, now } = this.options
+		const zones = new Set(this.listedCordons.map(({ zone }) => zone))
+		const missing = this.activeCordons.filter(({ zone, revision }) => {
+			return !zones.has(zone) && revision.era !== this.era && now() < this.retainUntil
 		})
-		this.held = [...this.listed, ...missing]
-		const changes = board.replaceCordons(this.held, now())
+		this.activeCordons = [...this.listedCordons, ...missing]
+		const changes = board.replaceCordons(this.activeCordons, now())
 		for (const cordon of changes.cordoned) this.logChange('zone-cordoned', cordon)
 		for (const cordon of changes.reopened) this.logChange('zone-reopened', cordon)
 	}
 
 	private logChange(name: 'zone-cordoned' | 'zone-reopened', { zone, revision }: ZoneCordon): void {
-		const { board, listAgeMs, log } = this.options
+		const { registry: board, listAgeMs, log } = this.options
 		const hasTargets = board.hasTargetIn(zone)
 		log({
 			name,
@@ -92,16 +92,16 @@
 		})
 	}
 
-	private logRefused(refused: Set<string>): void {
+	private logInvalidKeys(refused: Set<string>): void {
 		for (const key of refused) {
-			if (!this.refused.has(key))
+			if (!this.invalidKeys.has(key))
 				this.options.log({ name: 'cordon-refused', fields: { key, what: 'names no zone' } })
 		}
-		this.refused = refused
+		this.invalidKeys = refused
 	}
 }
 
 /** Undefined where the text can't be the name of a zone. */
-function zoneOf(text: string): ZoneName | undefined {
+function parseZone(text: string): ZoneName | undefined {
 	return text === '' || text.includes('/') ? undefined : brandId<ZoneName>(text)
 }
--- a/packages/gateway/src/lib/CrashProtection.ts
+++ b/packages/gateway/src/lib/CrashProtection.ts
@@ -3,7 +3,7 @@
 	type CrashRecord,
 	type LogEvent,
 	type RequestFingerprint,
-	type TargetBoard,
+	type TargetRegistry,
 	type TargetEntry,
 } from '@stallwing/core'
 import type { KeyValueStore, StoreItem } from '@stallwing/store'
@@ -20,7 +20,7 @@
 	readonly store: KeyValueStore
 	/** Key of the record of quarantined requests. */
 	readonly key: string
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly pool: (target: TargetEntry) => ConnectionPool
 	readonly datagrams: PeerDatagrams
 	/** Addresses of all other boxes. */
@@ -73,7 +73,7 @@
 		this.watch = new CrashWatch({
 			...options,
 			quarantine,
-			isListed: (life, target) => options.board.isListed(life, target),
+			isListed: (life, target) => options.registry.isAvailable(life, target),
 			onRecord: (record) => this.spread(record),
 		})
 		this.sharing = new QuarantineSharing({ ...options, quarantine, onHeard })
@@ -101,20 +101,23 @@
 
 	/** Undefined where the request may be sent to a target. `isFirst`: no target got this try of it yet. */
 	heldBack(content: RequestContent, isFirst: boolean): HeldBack | undefined {
-		if (!this.quarantine.mayConcern(content.hint)) return undefined
+		if (!this.quarantine.mayHaveRecord(content.hint)) return undefined
 		const { fingerprint } = content
 		const stage = this.quarantine.stageOf(fingerprint)
 		if (stage === 'free') return undefined
 		const detail = `${fingerprint} ends targets: ${stage}`
 		if (stage === 'quarantined')
-			return { detail, opensInMs: this.quarantine.heldMs(fingerprint, this.options.now()) }
+			return {
+				detail,
+				opensInMs: this.quarantine.quarantineLeftMs(fingerprint, this.options.now()),
+			}
 		const isFree = isFirst && !this.running.has(fingerprint)
 		return isFree ? undefined : { detail, opensInMs: PROBATION_PAUSE_MS }
 	}
 
 	/** A run begins. Returns what is to be called at its end. */
 	begin(content: RequestContent): () => void {
-		if (!this.quarantine.mayConcern(content.hint)) return () => undefined
+		if (!this.quarantine.mayHaveRecord(content.hint)) return () => undefined
 		const { fingerprint } = content
 		this.running.set(fingerprint, (this.running.get(fingerprint) ?? 0) + 1)
 		let isOver = false
@@ -134,7 +137,7 @@
 
 	/** A target answered the request to the end. */
 	noteAnswered(content: RequestContent): void {
-		if (this.quarantine.mayConcern(content.hint)) this.clear(content.fingerprint, 'answered')
+		if (this.quarantine.mayHaveRecord(content.hint)) this.clear(content.fingerprint, 'answered')
 	}
 
 	/** An operator vouches for a request. False where nothing is held against it. */
@@ -159,7 +162,7 @@
 			fingerprint,
 			lives: runs.map((run) => run.life),
 			ageMs: Math.round(now - changedAt),
-			heldMs: Math.round(this.quarantine.heldMs(fingerprint, now)),
+			heldMs: Math.round(this.quarantine.quarantineLeftMs(fingerprint, now)),
 		}))
 	}
 
--- a/packages/gateway/src/lib/CrashWatch.test.ts
+++ b/packages/gateway/src/lib/CrashWatch.test.ts
@@ -1,7 +1,7 @@
 import {
 	RequestQuarantine,
 	brandId,
-	lifeOf,
+	incarnationOf,
 	type LogEvent,
 	type RequestFingerprint,
 } from '@stallwing/core'
@@ -9,10 +9,10 @@
 import { beforeEach, describe, expect, it } from 'vitest'
 import type { ConnectionPool, ProbeResult } from './ConnectionPool.js'
 import { CrashWatch, type BrokenRun } from './CrashWatch.js'
-import { entryOf } from './testBox.js'
+import { targetEntryOf } from './testBox.js'
 
 const PENDING_MS = 10_000
-const TARGET = { ...entryOf('t1', '127.0.0.1:1'), bornAt: 1 }
+const TARGET = { ...targetEntryOf('t1', '127.0.0.1:1'), bornAt: 1 }
 const REQUEST = { fingerprint: brandId<RequestFingerprint>('f'), hint: 1 }
 
 describe('CrashWatch', () => {
@@ -65,7 +65,9 @@
 	it('holds the end of a target against a request that it ran', async () => {
 		result = 'refused'
 		await broken()
-		expect(quarantine.all[0]?.runs).toEqual([{ life: lifeOf(TARGET), beganAt: 40, endedAt: 100 }])
+		expect(quarantine.all[0]?.runs).toEqual([
+			{ life: incarnationOf(TARGET), beganAt: 40, endedAt: 100 },
+		])
 		expect(logged.map((event) => event.name)).toEqual(['target-ended', 'request-suspected'])
 	})
 
--- a/packages/gateway/src/lib/CrashWatch.ts
+++ b/packages/gateway/src/lib/CrashWatch.ts
@@ -1,11 +1,11 @@
 import {
-	lifeOf,
+	incarnationOf,
 	type CrashRecord,
 	type LogEvent,
 	type RequestIdentity,
 	type RequestQuarantine,
 	type TargetEntry,
-	type TargetLife,
+	type TargetIncarnation,
 	type TargetName,
 } from '@stallwing/core'
 import type { Metrics } from '@stallwing/telemetry'
@@ -16,7 +16,7 @@
 	readonly quarantine: RequestQuarantine
 	readonly pool: (target: TargetEntry) => ConnectionPool
 	/** True where this life of the target is listed and does not leave. */
-	readonly isListed: (life: TargetLife, target: TargetName) => boolean
+	readonly isListed: (life: TargetIncarnation, target: TargetName) => boolean
 	/** What is known of a request has changed. */
 	readonly onRecord: (record: CrashRecord) => void
 	readonly metrics: Metrics
@@ -58,16 +58,16 @@
  */
 export class CrashWatch {
 	private pending: PendingRun[] = []
-	private readonly probes = new Map<TargetLife, Promise<ProbeResult>>()
+	private readonly probes = new Map<TargetIncarnation, Promise<ProbeResult>>()
 	/** Lives that are over. */
-	private readonly ended = new Set<TargetLife>()
+	private readonly ended = new Set<TargetIncarnation>()
 
 	constructor(private readonly options: CrashWatchOptions) {}
 
 	/** An answer broke off. Resolves once it is known whether the target ended, as far as that can be known soon. */
 	async noteBroken(run: BrokenRun): Promise<void> {
 		const { isListed, now } = this.options
-		const life = lifeOf(run.target)
+		const life = incarnationOf(run.target)
 		// A planned end cuts off what is still running: that is nobody's fault.
 		if (!isListed(life, run.target.name) && !this.ended.has(life)) return
 		const broken: PendingRun = { ...run, endedAt: now() }
@@ -90,7 +90,7 @@
 	}
 
 	private probe(target: TargetEntry): Promise<ProbeResult> {
-		const life = lifeOf(target)
+		const life = incarnationOf(target)
 		const known = this.probes.get(life)
 		if (known) return known
 		const probe = this.options.pool(target).probe()
@@ -102,8 +102,8 @@
 	private noteEnd(target: TargetEntry, sign: EndSign): void {
 		const { log, metrics } = this.options
 		this.forgetOld()
-		const life = lifeOf(target)
-		const runs = this.pending.filter((run) => lifeOf(run.target) === life)
+		const life = incarnationOf(target)
+		const runs = this.pending.filter((run) => incarnationOf(run.target) === life)
 		// Answers may break off after the new start was heard of. An entry that goes may be that of a planned end.
 		if (runs.length > 0 || sign === 'started again') this.rememberEnd(life)
 		if (runs.length === 0) return
@@ -113,7 +113,7 @@
 		for (const run of runs) this.hold(run)
 	}
 
-	private rememberEnd(life: TargetLife): void {
+	private rememberEnd(life: TargetIncarnation): void {
 		this.ended.add(life)
 		const [oldest] = this.ended
 		if (this.ended.size > MOST_ENDED && oldest !== undefined) this.ended.delete(oldest)
@@ -122,8 +122,8 @@
 	private hold({ identity, target, beganAt, endedAt }: PendingRun): void {
 		const { log, now, onRecord, quarantine } = this.options
 		const stageBefore = quarantine.stageOf(identity.fingerprint)
-		const life = lifeOf(target)
-		const record = quarantine.noteCrash(identity, { life, beganAt, endedAt }, now())
+		const life = incarnationOf(target)
+		const record = quarantine.recordCrash(identity, { life, beganAt, endedAt }, now())
 		const stage = quarantine.stageOf(identity.fingerprint)
 		const { fingerprint } = identity
 		const lives = record.runs.length
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -1,4 +1,4 @@
-import type { RequestLimits, StatedWork, TargetLoad } from '@stallwing/core'
+import type { RequestLimits, DeclaredWork, TargetLoad } from '@stallwing/core'
 import type { Either } from 'fp-ts/lib/Either.js'
 import type { RefusalKind } from './Refusal.js'
 
@@ -40,25 +40,25 @@
 export interface Dialect {
 	readonly headers: HeaderNames
 	/** Headers that only the fleet may set for a target; a caller's are dropped. Lower case. */
-	readonly fleetHeaders: ReadonlySet<string>
+	readonly reservedHeaders: ReadonlySet<string>
 	/** Headers by which the platform's own programs speak to each other, lower case: a new one may be a word for a box. */
 	readonly ownHeader: RegExp
 	/** Those of them on answers that say nothing that a box needs. Lower case. */
 	readonly unreadHeaders: ReadonlySet<string>
 	/** The least urgent rank that a target knows. */
-	readonly lowestRank: number
+	readonly leastUrgentRank: number
 	/** Status by which a target says that it is not the one named. */
 	readonly wrongTargetStatus: number
 	/** Limits until a configuration is in force. */
-	readonly startLimits: RequestLimits
+	readonly initialLimits: RequestLimits
 	/** Reads what a caller states of its work; undefined where it states nothing. */
 	readWork(
 		header: (name: string) => string | undefined,
-	): Either<MalformedRequest, StatedWork | undefined>
+	): Either<MalformedRequest, DeclaredWork | undefined>
 	/** Reads the key of an account; undefined where there is none. */
 	readKey(header: (name: string) => string | undefined): string | undefined
 	/** Reads the load that a target tells; undefined where it can't be read. */
 	readLoad(text: string): TargetLoad | undefined
 	/** Status of an answer of our own. */
-	statusOf(refusal: RefusalKind): number
+	statusFor(refusal: RefusalKind): number
 }
--- a/packages/gateway/src/lib/LoopDelay.ts
+++ b/packages/gateway/src/lib/EventLoopDelay.ts
@@ -1,23 +1,23 @@
-const TICK_MS = 25
+const TICK_INTERVAL_MS = 25
 /** Part of the delay that is still counted one tick later, when timers are on time again. */
-const FADING = 0.9
+const DECAY_FACTOR = 0.9
 
 /**
  * Measures by how much the timers of this process are late: the time that its work waits. One late timer
  * is a pause (a long step, a process that was stopped); only two in a row are a box that can't keep up.
  */
-export class LoopDelay {
+export class EventLoopDelay {
 	private timer: NodeJS.Timeout | undefined
 	private expectedAt = 0
-	private delay = 0
-	private lateBefore = 0
+	private sustained = 0
+	private previousLateMs = 0
 
 	/** `now` is the steady clock, in ms. */
 	constructor(private readonly now: () => number) {}
 
 	start(): void {
-		this.expectedAt = this.now() + TICK_MS
-		this.timer = setInterval(() => this.tick(), TICK_MS)
+		this.expectedAt = this.now() + TICK_INTERVAL_MS
+		this.timer = setInterval(() => this.tick(), TICK_INTERVAL_MS)
 	}
 
 	stop(): void {
@@ -25,23 +25,23 @@
 	}
 
 	/** The delay of late, in ms. */
-	get ms(): number {
-		return this.delay
+	get sustainedMs(): number {
+		return this.sustained
 	}
 
 	/**
 	 * By how much this process is late right now, in ms: what it reads may have waited for that long. It counts a
 	 * single pause as well.
 	 */
-	get lateMs(): number {
-		return Math.max(0, this.now() - this.expectedAt, this.lateBefore)
+	get currentMs(): number {
+		return Math.max(0, this.now() - this.expectedAt, this.previousLateMs)
 	}
 
 	private tick(): void {
 		const now = this.now()
 		const late = Math.max(0, now - this.expectedAt)
-		this.delay = Math.max(Math.min(late, this.lateBefore), this.delay * FADING)
-		this.lateBefore = late
-		this.expectedAt = now + TICK_MS
+		this.sustained = Math.max(Math.min(late, this.previousLateMs), this.sustained * DECAY_FACTOR)
+		this.previousLateMs = late
+		this.expectedAt = now + TICK_INTERVAL_MS
 	}
 }
--- a/packages/gateway/src/lib/FeedRelay.test.ts
+++ b/packages/gateway/src/lib/FeedRelay.test.ts
@@ -1,7 +1,7 @@
 import { MemoryStore, type CallFate } from '@stallwing/standins'
 import {
 	PrefixFollower,
-	type FollowedStore,
+	type WatchableStore,
 	type KeyValueStore,
 	type StoreChange,
 	type StoreFault,
@@ -10,7 +10,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { FeedRelay } from './FeedRelay.js'
 import type { FeedPeers } from './PeerFeeds.js'
-import { decodeFeedAnswer, encodeFeedAnswer } from './feedCodec.js'
+import { decodeFeedResponse, encodeFeedResponse } from './feedCodec.js'
 import { sleep } from './sleep.js'
 
 /** Two boxes that watch the store, and one that asks them. */
@@ -45,12 +45,12 @@
 			store: this.deafStore(box),
 			peers: this.peers(),
 			isWatcher: () => isWatcher,
-			isServing: () => isWatcher,
-			isPlaced: () => true,
-			watchers: () => ['watcher-1', 'watcher-2'].filter((other) => other !== box),
-			boundMs: 2_000,
+			hasDependentBoxes: () => isWatcher,
+			isFleetKnown: () => true,
+			watcherAddresses: () => ['watcher-1', 'watcher-2'].filter((other) => other !== box),
+			propagationLimitMs: 2_000,
 			storeReadsPerSecond: 2_000,
-			boxes: () => 3,
+			fleetSize: () => 3,
 			now: () => Date.now(),
 			random: () => 0.5,
 			sleep,
@@ -72,7 +72,7 @@
 		void follower.run()
 	}
 
-	private deafStore(box: string): FollowedStore & Pick<KeyValueStore, 'era' | 'ping'> {
+	private deafStore(box: string): WatchableStore & Pick<KeyValueStore, 'era' | 'ping'> {
 		const store = this.store.connect(box)
 		return {
 			get era() {
@@ -102,8 +102,8 @@
 					await sleep(waitMs + 300)
 					return undefined
 				}
-				const answer = await this.relays.get(address)?.answer(prefix, after, waitMs)
-				return answer && decodeFeedAnswer(JSON.stringify(encodeFeedAnswer(answer)), after.era)
+				const answer = await this.relays.get(address)?.handleRequest(prefix, after, waitMs)
+				return answer && decodeFeedResponse(JSON.stringify(encodeFeedResponse(answer)), after.era)
 			},
 		}
 	}
@@ -301,12 +301,12 @@
 			},
 			peers: { changes: () => Promise.resolve(undefined) },
 			isWatcher: () => true,
-			isServing: () => false,
-			isPlaced: () => true,
-			watchers: () => [],
-			boundMs: 2_000,
+			hasDependentBoxes: () => false,
+			isFleetKnown: () => true,
+			watcherAddresses: () => [],
+			propagationLimitMs: 2_000,
 			storeReadsPerSecond: 2_000,
-			boxes: () => 1,
+			fleetSize: () => 1,
 			now: () => Date.now(),
 			random: () => 0.5,
 			sleep,
--- a/packages/gateway/src/lib/FeedRelay.ts
+++ b/packages/gateway/src/lib/FeedRelay.ts
@@ -1,20 +1,20 @@
 import { NO_REVISION, exhaustive, type LogEvent, type StoreRevision } from '@stallwing/core'
 import type {
-	FollowedStore,
+	WatchableStore,
 	KeyValueStore,
 	StoreChange,
 	StoreFault,
 	StoreListing,
 } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import { answerFeed, bytesOf, type FeedAnswer } from './answerFeed.js'
+import { handleFeedRequest, changesByteLength, type FeedResponse } from './handleFeedRequest.js'
 import { FeedState } from './FeedState.js'
 import { PeerFeeds, RELAY_WAIT_MS, type FeedPeers, type Heard } from './PeerFeeds.js'
-import { StoreProbes } from './StoreProbes.js'
-import { StoreReturn } from './StoreReturn.js'
+import { StoreProbeSchedule } from './StoreProbeSchedule.js'
+import { StoreRecovery } from './StoreRecovery.js'
 
 /** The revision up to which another box knows all changes. */
-export interface AskedRevision {
+export interface RequestedRevision {
 	/** Undefined: that box runs an older version, and takes its era for the one of the box that it asks. */
 	readonly era: number | undefined
 	readonly number: number
@@ -23,22 +23,22 @@
 /** What a {@link FeedRelay} works with. */
 export interface FeedRelayOptions {
 	/** `ping` costs little and tells whether the store answers. */
-	readonly store: FollowedStore & Pick<KeyValueStore, 'era' | 'ping'>
+	readonly store: WatchableStore & Pick<KeyValueStore, 'era' | 'ping'>
 	readonly peers: FeedPeers
 	/** This box watches the store itself, for others too. */
 	readonly isWatcher: () => boolean
 	/** Boxes that do not watch rely on this one. */
-	readonly isServing: () => boolean
+	readonly hasDependentBoxes: () => boolean
 	/** This box knows the others, and so whom to ask. */
-	readonly isPlaced: () => boolean
+	readonly isFleetKnown: () => boolean
 	/** Addresses of boxes that watch the store, in the order in which this one asks them. */
-	readonly watchers: () => readonly string[]
+	readonly watcherAddresses: () => readonly string[]
 	/** Time in which a change has to be known everywhere, in ms. */
-	readonly boundMs: number
+	readonly propagationLimitMs: number
 	/** Reads a second that the store takes of all boxes together. */
 	readonly storeReadsPerSecond: number
 	/** Boxes of the fleet. */
-	readonly boxes: () => number
+	readonly fleetSize: () => number
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	readonly random: () => number
@@ -50,31 +50,31 @@
  * Longest watch of a box that others ask, as a part of the bound: what it does not hear of, they don't
  * either, although the store may reach them.
  */
-const SERVING_WATCH_PART = 0.45
+const SERVING_WATCH_FRACTION = 0.45
 /**
  * Age from which the word of the store that a box has is too old to vouch for silence, as a part of the
  * bound: others then still have time to ask the store.
  */
-const FRESH_PART = 0.7
+const MAX_CONFIRMATION_AGE_FRACTION = 0.7
 /**
  * Time for which a box goes to the store itself after no other could tell, in ms: those that watch are back
  * soon after it.
  */
-const DIRECT_MS = 1_500
+const DIRECT_WATCH_MS = 1_500
 /**
  * Pause after changes before the next watch, in ms: many often come one after the other, and each answer is a call to
  * the store and a message to every box that asks this one. A small part of the time in which they must be known.
  */
-const GATHER_MS = 250
+const BATCH_DELAY_MS = 250
 /** Pause before this box knows whom to ask, in ms. */
-const PLACE_POLL_MS = 100
+const FLEET_POLL_MS = 100
 /**
  * Size of changes, in bytes, from which newer versions may be written while they arrive: 64 KiB take
  * 50 ms on a link of 10 Mbit/s.
  */
-const LARGE_BYTES = 64 * 1024
+const MAX_WATCHED_BYTES = 64 * 1024
 /** Longest pause of a box that reaches no other, in ms: of the 3 s in which it must know what it missed. */
-const ALONE_PAUSE_MS = 300
+const MAX_ISOLATED_PAUSE_MS = 300
 
 /**
  * Follows the store for this box and for others. A few boxes of each zone watch the store, the others
@@ -83,21 +83,28 @@
  * believed only of a box that the store answered a short time ago: watches of boxes that others rely on are
  * short for that.
  */
-export class FeedRelay implements FollowedStore {
+export class FeedRelay implements WatchableStore {
 	private readonly feeds = new Map<string, FeedState>()
 	private readonly peerFeeds: PeerFeeds
-	private readonly probes: StoreProbes
-	private readonly storeReturn: StoreReturn
-	private eraAsked: Promise<boolean> | undefined
-	private directUntil = Number.NEGATIVE_INFINITY
+	private readonly probeSchedule: StoreProbeSchedule
+	private readonly storeRecovery: StoreRecovery
+	private pendingEraCheck: Promise<boolean> | undefined
+	private directWatchUntil = Number.NEGATIVE_INFINITY
 	/** The store answered this box when it last went there itself. */
-	private isStoreOpen = false
+	private isStoreReachable = false
 
 	constructor(private readonly options: FeedRelayOptions) {
-		const { log, now, peers, sleep, watchers } = options
-		this.peerFeeds = new PeerFeeds({ peers, watchers, freshMs: this.freshMs, now, sleep, log })
-		this.probes = new StoreProbes(options)
-		this.storeReturn = new StoreReturn({
+		const { log, now, peers, sleep, watcherAddresses: watchers } = options
+		this.peerFeeds = new PeerFeeds({
+			peers,
+			watchers,
+			freshMs: this.maxConfirmationAgeMs,
+			now,
+			sleep,
+			log,
+		})
+		this.probeSchedule = new StoreProbeSchedule(options)
+		this.storeRecovery = new StoreRecovery({
 			ping: () => options.store.ping(),
 			sleep: (ms) => options.sleep(ms),
 		})
@@ -106,15 +113,15 @@
 	/** All items below a prefix: those of the store, or what another box knows where it does not answer. */
 	async list(prefix: string): Promise<E.Either<StoreFault, StoreListing>> {
 		const feed = this.feed(prefix)
-		const unseen = feed.takeUnseen()
+		const unseen = feed.takePendingListing()
 		if (unseen) return E.right(unseen)
-		const told = feed.isLost ? undefined : await this.listStore(prefix)
+		const told = feed.hasStoreFault ? undefined : await this.listStore(prefix)
 		if (!told || E.isLeft(told)) {
-			const elsewhere = await this.hearElsewhere(prefix, NO_REVISION)
+			const elsewhere = await this.askPeers(prefix, NO_REVISION)
 			if (elsewhere.kind === 'returned') await this.listStore(prefix)
 		}
-		const listing = feed.takeUnseen()
-		return listing ? E.right(listing) : E.left(feed.fault ?? NO_WORD)
+		const listing = feed.takePendingListing()
+		return listing ? E.right(listing) : E.left(feed.fault ?? NO_SOURCE)
 	}
 
 	async watch(
@@ -122,15 +129,15 @@
 		after: StoreRevision,
 		waitMs: number,
 	): Promise<E.Either<StoreFault, readonly StoreChange[]>> {
-		const { isPlaced, now, sleep } = this.options
+		const { isFleetKnown: isPlaced, now, sleep } = this.options
 		if (!isPlaced()) {
-			await sleep(PLACE_POLL_MS)
+			await sleep(FLEET_POLL_MS)
 			return E.right([])
 		}
-		if (this.watchesItself) return this.watchOrAsk(prefix, after, waitMs)
-		if (now() < this.directUntil) return this.watchAlone(prefix, after)
-		const elsewhere = await this.hearElsewhere(prefix, after)
-		if (elsewhere.kind === 'returned') return this.watchAlone(prefix, after)
+		if (this.watchesStore) return this.watchStoreOrPeers(prefix, after, waitMs)
+		if (now() < this.directWatchUntil) return this.watchDirectly(prefix, after)
+		const elsewhere = await this.askPeers(prefix, after)
+		if (elsewhere.kind === 'returned') return this.watchDirectly(prefix, after)
 		return toChanges(elsewhere, this.feed(prefix).fault)
 	}
 
@@ -139,84 +146,90 @@
 	 * that reaches no other box tries again soon: its calls burden nobody.
 	 */
 	pause(ms: number): Promise<void> {
-		return this.storeReturn.pause(this.peerFeeds.isAlone ? Math.min(ms, ALONE_PAUSE_MS) : ms)
+		return this.storeRecovery.pause(
+			this.peerFeeds.isAlone ? Math.min(ms, MAX_ISOLATED_PAUSE_MS) : ms,
+		)
 	}
 
 	/** Ends what looks for the return of the store. */
 	stop(): void {
-		this.storeReturn.stop()
+		this.storeRecovery.stop()
 	}
 
-	private get watchesItself(): boolean {
-		return this.options.isWatcher() || this.options.watchers().length === 0
+	private get watchesStore(): boolean {
+		return this.options.isWatcher() || this.options.watcherAddresses().length === 0
 	}
 
 	/**
 	 * What other boxes know, for one that the store does not answer or that does not watch; `returned` where
 	 * this box is to go to the store itself.
 	 */
-	private async hearElsewhere(prefix: string, after: StoreRevision): Promise<Heard | Returned> {
-		if (this.watchesItself && this.storeReturn.isBack) return { kind: 'returned' }
+	private async askPeers(prefix: string, after: StoreRevision): Promise<Heard | StoreReturned> {
+		if (this.watchesStore && this.storeRecovery.isRecovered) return { kind: 'returned' }
 		const asked = this.peerFeeds.ask(this.feed(prefix), prefix, after)
-		if (this.watchesItself) {
-			const returned = this.storeReturn.wait().then((): Returned => ({ kind: 'returned' }))
+		if (this.watchesStore) {
+			const returned = this.storeRecovery
+				.waitForRecovery()
+				.then((): StoreReturned => ({ kind: 'returned' }))
 			return Promise.race([asked, returned])
 		}
 		const heard = await asked
-		if (heard.kind === 'stale' || heard.kind === 'silent') return this.probe(prefix, heard)
-		this.isStoreOpen = false
+		if (heard.kind === 'stale' || heard.kind === 'silent') return this.probeStore(prefix, heard)
+		this.isStoreReachable = false
 		return heard
 	}
 
 	/** Time since the store last vouched for what this box knows below a prefix, in ms. */
-	ageMs(prefix: string): number {
-		return this.options.now() - this.feed(prefix).vouchedAt
+	confirmationAgeMs(prefix: string): number {
+		return this.options.now() - this.feed(prefix).confirmedAt
 	}
 
 	/** Time for which the store has answered without a break, as far as this box knows, in ms. */
-	answeredMs(prefix: string): number {
-		return this.feed(prefix).answeredMs(this.options.now())
+	storeAvailableMs(prefix: string): number {
+		return this.feed(prefix).storeAvailableMs(this.options.now())
 	}
 
-	/** Tells another box what this one knows: see {@link answerFeed}. */
-	answer(prefix: string, asked: AskedRevision, waitMs: number): Promise<FeedAnswer> {
-		const { freshMs } = this
+	/** Tells another box what this one knows: see {@link handleFeedRequest}. */
+	handleRequest(prefix: string, asked: RequestedRevision, waitMs: number): Promise<FeedResponse> {
+		const { maxConfirmationAgeMs: freshMs } = this
 		const { now, store } = this.options
 		const feed = this.feeds.get(prefix) ?? new FeedState()
 		const after = { era: asked.era ?? feed.log.era, number: asked.number }
-		if (after.era > store.era) this.askForEra()
-		return answerFeed(feed, {
+		if (after.era > store.era) this.refreshEra()
+		return handleFeedRequest(feed, {
 			after,
 			waitMs: Math.min(waitMs, RELAY_WAIT_MS),
-			freshMs,
+			maxConfirmationAgeMs: freshMs,
 			now,
 		})
 	}
 
 	/** Another box knows of a newer era: any answer of the store tells this one. One call at a time. */
-	private askForEra(): void {
-		this.eraAsked ??= this.options.store.ping().finally(() => (this.eraAsked = undefined))
+	private refreshEra(): void {
+		this.pendingEraCheck ??= this.options.store
+			.ping()
+			.finally(() => (this.pendingEraCheck = undefined))
 	}
 
 	/** The way of a box that watches: the store, and the other boxes that watch while that does not answer. */
-	private async watchOrAsk(
+	private async watchStoreOrPeers(
 		prefix: string,
 		after: StoreRevision,
 		waitMs: number,
 	): Promise<E.Either<StoreFault, readonly StoreChange[]>> {
-		const { boundMs, isServing } = this.options
+		const { propagationLimitMs: boundMs, hasDependentBoxes: isServing } = this.options
 		const longest = isServing()
-			? Math.min(waitMs, Math.round(SERVING_WATCH_PART * boundMs))
+			? Math.min(waitMs, Math.round(SERVING_WATCH_FRACTION * boundMs))
 			: waitMs
-		if (!this.feed(prefix).isLost) {
-			await this.gather(prefix)
+		if (!this.feed(prefix).hasStoreFault) {
+			await this.awaitBatch(prefix)
 			const told = await this.watchStore(prefix, after, longest)
-			if (isServing()) this.noteGathering(prefix, told)
+			if (isServing()) this.startBatch(prefix, told)
 			if (E.isRight(told) || told.left.kind === 'history-gone') return told
 		}
-		const elsewhere = await this.hearElsewhere(prefix, after)
+		const elsewhere = await this.askPeers(prefix, after)
 		return elsewhere.kind === 'returned'
-			? this.catchUp(prefix)
+			? this.relist(prefix)
 			: toChanges(elsewhere, this.feed(prefix).fault)
 	}
 
@@ -224,17 +237,17 @@
 	 * Whether this box tries the store where no other could tell. Where those that were asked are there but
 	 * were not told anything themselves, the store is probably away for all: few boxes try it then.
 	 */
-	private async probe(prefix: string, heard: Heard): Promise<Heard | Returned> {
-		if (!this.isStoreOpen) {
-			if (!this.probes.isDue(heard.kind === 'stale')) return heard
+	private async probeStore(prefix: string, heard: Heard): Promise<Heard | StoreReturned> {
+		if (!this.isStoreReachable) {
+			if (!this.probeSchedule.isDue(heard.kind === 'stale')) return heard
 			const isReached = await this.options.store.ping()
-			this.probes.note(isReached)
+			this.probeSchedule.recordResult(isReached)
 			if (!isReached) {
-				this.noteLost(this.feed(prefix), PING_LOST)
+				this.noteStoreFault(this.feed(prefix), PING_FAILED)
 				return heard
 			}
 		}
-		this.directUntil = this.options.now() + DIRECT_MS
+		this.directWatchUntil = this.options.now() + DIRECT_WATCH_MS
 		return { kind: 'returned' }
 	}
 
@@ -244,49 +257,49 @@
 		waitMs: number,
 	): Promise<E.Either<StoreFault, readonly StoreChange[]>> {
 		const feed = this.feed(prefix)
-		if (feed.isBehind) return this.catchUp(prefix)
+		if (feed.needsListing) return this.relist(prefix)
 		const begun = this.options.now()
 		const told = await this.options.store.watch(prefix, after, waitMs)
 		if (E.isLeft(told)) {
-			if (told.left.kind !== 'history-gone') this.noteLost(feed, told.left)
+			if (told.left.kind !== 'history-gone') this.noteStoreFault(feed, told.left)
 			return told
 		}
 		// Changes may have been long on the way: the answer is as old as the call.
 		const now = this.options.now()
-		feed.noteTold(told.right.length > 0 ? begun : now, now)
-		feed.isBehind = bytesOf(told.right) > LARGE_BYTES
+		feed.noteStoreResponse(told.right.length > 0 ? begun : now, now)
+		feed.needsListing = changesByteLength(told.right) > MAX_WATCHED_BYTES
 		feed.log.append(told.right)
 		return told
 	}
 
 	/** A watch for this box only. */
-	private async watchAlone(
+	private async watchDirectly(
 		prefix: string,
 		after: StoreRevision,
 	): Promise<E.Either<StoreFault, readonly StoreChange[]>> {
-		await this.gather(prefix)
+		await this.awaitBatch(prefix)
 		const told = await this.watchStore(prefix, after, RELAY_WAIT_MS)
-		this.noteGathering(prefix, told)
-		this.isStoreOpen = E.isRight(told) || told.left.kind === 'history-gone'
+		this.startBatch(prefix, told)
+		this.isStoreReachable = E.isRight(told) || told.left.kind === 'history-gone'
 		return told
 	}
 
 	/** Waits until changes that follow each other closely have come together. */
-	private async gather(prefix: string): Promise<void> {
+	private async awaitBatch(prefix: string): Promise<void> {
 		const { now, sleep } = this.options
-		const wait = this.feed(prefix).gatherUntil - now()
+		const wait = this.feed(prefix).batchUntil - now()
 		if (wait > 0) await sleep(wait)
 	}
 
-	private noteGathering(prefix: string, told: E.Either<StoreFault, readonly StoreChange[]>): void {
+	private startBatch(prefix: string, told: E.Either<StoreFault, readonly StoreChange[]>): void {
 		if (E.isLeft(told) || told.right.length === 0) return
-		this.feed(prefix).gatherUntil = this.options.now() + GATHER_MS
+		this.feed(prefix).batchUntil = this.options.now() + BATCH_DELAY_MS
 	}
 
 	/** Lists instead of watching: the newest version of each item, without those before it. */
-	private async catchUp(prefix: string): Promise<E.Either<StoreFault, never>> {
+	private async relist(prefix: string): Promise<E.Either<StoreFault, never>> {
 		const told = await this.listStore(prefix)
-		return E.isLeft(told) ? told : E.left(LIST_ANEW)
+		return E.isLeft(told) ? told : E.left(RELIST)
 	}
 
 	/** Takes a listing of the store over. */
@@ -296,25 +309,25 @@
 		const begun = now()
 		const listing = await store.list(prefix)
 		if (E.isLeft(listing)) {
-			this.noteLost(feed, listing.left)
+			this.noteStoreFault(feed, listing.left)
 			return listing
 		}
-		if (!feed.take(listing.right)) {
-			this.noteLost(feed, PAST_ERA)
+		if (!feed.applyListing(listing.right)) {
+			this.noteStoreFault(feed, PAST_ERA)
 			return E.left(PAST_ERA)
 		}
-		feed.isBehind = false
-		feed.noteTold(begun, now())
+		feed.needsListing = false
+		feed.noteStoreResponse(begun, now())
 		return E.right(undefined)
 	}
 
-	private noteLost(feed: FeedState, fault: StoreFault): void {
-		feed.noteLost(fault)
-		this.storeReturn.noteLost()
+	private noteStoreFault(feed: FeedState, fault: StoreFault): void {
+		feed.noteStoreFault(fault)
+		this.storeRecovery.noteUnreachable()
 	}
 
-	private get freshMs(): number {
-		return FRESH_PART * this.options.boundMs
+	private get maxConfirmationAgeMs(): number {
+		return MAX_CONFIRMATION_AGE_FRACTION * this.options.propagationLimitMs
 	}
 
 	private feed(prefix: string): FeedState {
@@ -327,33 +340,33 @@
 }
 
 /** The store answers this box again. */
-interface Returned {
+interface StoreReturned {
 	readonly kind: 'returned'
 }
 
-const PING_LOST: StoreFault = {
+const PING_FAILED: StoreFault = {
 	kind: 'no-answer',
 	cause: 'the store does not answer a short read',
 }
-const NO_WORD: StoreFault = {
+const NO_SOURCE: StoreFault = {
 	kind: 'no-answer',
 	cause: 'neither the store nor a box that it answers told anything',
 }
 /** The store answers from an era that other boxes know to be over. */
 const PAST_ERA: StoreFault = { kind: 'past-era' }
 /** Tells the follower of a prefix to list, which brings what was taken over. */
-const LIST_ANEW: StoreFault = { kind: 'history-gone' }
+const RELIST: StoreFault = { kind: 'history-gone' }
 
 /** What other boxes told, for a follower; the fault of the store where they could not tell anything. */
 function toChanges(
 	heard: Heard,
-	fault: StoreFault = NO_WORD,
+	fault: StoreFault = NO_SOURCE,
 ): E.Either<StoreFault, readonly StoreChange[]> {
 	switch (heard.kind) {
 		case 'heard':
 			return E.right(heard.changes)
 		case 'listed':
-			return E.left(LIST_ANEW)
+			return E.left(RELIST)
 		case 'stale':
 		case 'silent':
 			return E.left(fault)
--- a/packages/gateway/src/lib/FeedState.ts
+++ b/packages/gateway/src/lib/FeedState.ts
@@ -6,68 +6,68 @@
 export class FeedState {
 	readonly log = new ChangeLog()
 	/** When the store itself last answered about this prefix; -Infinity once it did not answer. */
-	toldAt = NEVER
+	directlyConfirmedAt = NEVER
 	/** When the store last answered this box, or one that this box then asked. */
-	vouchedAt = NEVER
+	confirmedAt = NEVER
 	/** Newer versions may lie behind the ones that a watch would tell first: a listing skips those. */
-	isBehind = false
+	needsListing = false
 	/** Why the last call to the store about this prefix failed; undefined where it was answered. */
 	fault: StoreFault | undefined
 	/** None of the boxes that were last asked could tell anything. */
-	isSilent = false
+	hasNoSource = false
 	/** The next watch for this box alone begins then: until then changes gather. */
-	gatherUntil = NEVER
+	batchUntil = NEVER
 	/** Since when the store answers without a break, as far as this box knows; undefined while it does not. */
-	private answersSince: number | undefined
+	private storeAvailableSince: number | undefined
 	/** A listing was taken over that the follower of this prefix has not seen yet. */
-	private hasUnseen = false
+	private hasPendingListing = false
 
 	/** The last call about this prefix was not answered. */
-	get isLost(): boolean {
+	get hasStoreFault(): boolean {
 		return this.fault !== undefined
 	}
 
-	noteLost(fault: StoreFault): void {
-		this.toldAt = NEVER
+	noteStoreFault(fault: StoreFault): void {
+		this.directlyConfirmedAt = NEVER
 		this.fault = fault
-		this.isBehind = true
-		this.isSilent = true
-		this.answersSince = undefined
+		this.needsListing = true
+		this.hasNoSource = true
+		this.storeAvailableSince = undefined
 	}
 
 	/** The store answered now; what it told was true at `at`. */
-	noteTold(at: number, now: number): void {
+	noteStoreResponse(at: number, now: number): void {
 		this.fault = undefined
-		this.toldAt = at
-		this.noteVouched(at)
-		this.answersSince ??= now
+		this.directlyConfirmedAt = at
+		this.noteConfirmed(at)
+		this.storeAvailableSince ??= now
 	}
 
 	/** The store vouched at `at` for what this box knows, directly or through another box. */
-	noteVouched(at: number): void {
-		this.vouchedAt = Math.max(this.vouchedAt, at)
+	noteConfirmed(at: number): void {
+		this.confirmedAt = Math.max(this.confirmedAt, at)
 	}
 
 	/** Another box said since when the store answers it. */
-	noteAnswersSince(since: number): void {
-		this.answersSince = Math.min(this.answersSince ?? since, since)
+	noteStoreAvailableSince(since: number): void {
+		this.storeAvailableSince = Math.min(this.storeAvailableSince ?? since, since)
 	}
 
 	/** No other box could tell whether the store answers. */
-	noteUnknown(): void {
-		this.isSilent = true
-		this.answersSince = undefined
+	noteNoSource(): void {
+		this.hasNoSource = true
+		this.storeAvailableSince = undefined
 	}
 
 	/** Time for which the store has answered without a break, as far as this box knows, in ms. */
-	answeredMs(now: number): number {
-		return this.answersSince === undefined ? 0 : now - this.answersSince
+	storeAvailableMs(now: number): number {
+		return this.storeAvailableSince === undefined ? 0 : now - this.storeAvailableSince
 	}
 
 	/** Takes a listing over, for the follower of this prefix to see next. False where its era is over. */
-	take(listing: StoreListing): boolean {
-		if (!this.log.restart(listing)) return false
-		this.hasUnseen = true
+	applyListing(listing: StoreListing): boolean {
+		if (!this.log.applyListing(listing)) return false
+		this.hasPendingListing = true
 		return true
 	}
 
@@ -75,9 +75,9 @@
 	 * All items, once after a listing was taken over. What is known may be newer than that listing: nothing
 	 * goes back to an older revision.
 	 */
-	takeUnseen(): StoreListing | undefined {
-		if (!this.hasUnseen) return undefined
-		this.hasUnseen = false
+	takePendingListing(): StoreListing | undefined {
+		if (!this.hasPendingListing) return undefined
+		this.hasPendingListing = false
 		return this.log.listing()
 	}
 }
--- a/packages/gateway/src/lib/FleetRoster.test.ts
+++ b/packages/gateway/src/lib/FleetMembership.test.ts
@@ -1,7 +1,7 @@
 import { brandId, type AccountName, type BoxName, type ZoneName } from '@stallwing/core'
 import { MemoryStore, type CallFate } from '@stallwing/standins'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { FleetRoster } from './FleetRoster.js'
+import { FleetMembership } from './FleetMembership.js'
 import { sleep } from './sleep.js'
 
 const ACCOUNT = brandId<AccountName>('acme')
@@ -9,7 +9,7 @@
 describe('FleetRoster', () => {
 	let fate: CallFate
 	let store: MemoryStore
-	let rosters: FleetRoster[]
+	let rosters: FleetMembership[]
 
 	beforeEach(() => {
 		vi.useFakeTimers()
@@ -23,8 +23,8 @@
 		vi.useRealTimers()
 	})
 
-	function start(zone: number, box: number, cores = 1): FleetRoster {
-		const roster = new FleetRoster({
+	function start(zone: number, box: number, cores = 1): FleetMembership {
+		const roster = new FleetMembership({
 			store: store.connect(`${zone}-${box}`),
 			prefix: 'box/',
 			listPrefix: 'box',
@@ -70,7 +70,7 @@
 		const writes = store.calls.get('write')
 		const again = start(0, 0)
 		await vi.advanceTimersByTimeAsync(100)
-		expect(again.listed).toBe(true)
+		expect(again.isFleetKnown).toBe(true)
 		expect(store.calls.get('write')).toBe(writes)
 	})
 
@@ -89,10 +89,10 @@
 		fate = 'refused'
 		const roster = start(0, 0)
 		await vi.advanceTimersByTimeAsync(5_000)
-		expect(roster.listed).toBe(false)
+		expect(roster.isFleetKnown).toBe(false)
 		fate = 'served'
 		await vi.advanceTimersByTimeAsync(1_500)
-		expect(roster.listed).toBe(true)
+		expect(roster.isFleetKnown).toBe(true)
 	})
 
 	it('tells its work to one box of its zone in a large fleet, and as a lender to all lenders', async () => {
--- a/packages/gateway/src/lib/FleetRoster.ts
+++ b/packages/gateway/src/lib/FleetMembership.ts
@@ -13,8 +13,8 @@
 import type { KeyValueStore, StoreFault, StoreItem } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
 
-/** What a {@link FleetRoster} works with. */
-export interface FleetRosterOptions {
+/** What a {@link FleetMembership} works with. */
+export interface FleetMembershipOptions {
 	readonly store: KeyValueStore
 	/** Below it lies one item for each box. */
 	readonly prefix: string
@@ -40,24 +40,24 @@
 /** Time in which the boxes of a fleet that starts as a whole have written their items, in ms. */
 const JOIN_SETTLE_MS = 700
 const POLL_MS = 6_000
-const POLL_SPREAD_MS = 2_000
+const POLL_JITTER_MS = 2_000
 /** Pause between two looks whether the store came back from a copy, in ms. */
-const LOST_POLL_MS = 500
+const ERA_POLL_MS = 500
 /** Time over which boxes spread that write their items again, in ms. */
-const JOIN_AGAIN_SPREAD_MS = 1_000
+const REGISTER_JITTER_MS = 1_000
 /** Boxes that are assumed until the others are known: what is limited for the fleet is divided by them. */
-const BOXES_BEFORE_LISTED = 16
+const ASSUMED_FLEET_SIZE = 16
 /** Boxes up to which each tells all others what it does. */
-const MOST_EQUALS = 13
+const MAX_FULL_MESH_BOXES = 13
 
 /** The boxes of the fleet. Each writes one item of the store, once; none is removed when a box fails. */
-export class FleetRoster {
+export class FleetMembership {
 	private members: readonly FleetMember[] = []
 	/** Era of the store in which this box last wrote its item, or found it. */
-	private joinedIn = 0
+	private registeredEra = 0
 	private stopped = false
 	/** True once the other boxes are known. */
-	listed = false
+	isFleetKnown = false
 	/** True once the other boxes know this one as well. */
 	isSettled = false
 	/** All boxes of the fleet: the same array for as long as they stay the same. */
@@ -67,43 +67,43 @@
 	/** Some boxes rely on others for what happens in the store. */
 	hasFollowers = false
 	/** Answers of {@link lenderAddresses}, for as long as the members stay the same. */
-	private watcherAddresses: readonly string[] | undefined
-	private workAddresses: readonly string[] | undefined
-	private lenderPeerAddresses: readonly string[] | undefined
-	private readonly lenders = new Map<AccountName, readonly string[]>()
+	private cachedWatcherAddresses: readonly string[] | undefined
+	private cachedWorkPeers: readonly string[] | undefined
+	private cachedLenderPeers: readonly string[] | undefined
+	private readonly cachedLenderAddresses = new Map<AccountName, readonly string[]>()
 
-	constructor(private readonly options: FleetRosterOptions) {}
+	constructor(private readonly options: FleetMembershipOptions) {}
 
 	/** Joins, then keeps up with boxes that come later, until {@link stop}. */
 	async run(): Promise<void> {
 		const { sleep, random } = this.options
 		while (!this.stopped && !(await this.join())) await sleep(RETRY_MS)
 		while (!this.stopped) {
-			await this.untilPoll(POLL_MS + random() * POLL_SPREAD_MS)
-			if (this.isLost && !(await this.joinAgain())) continue
+			await this.sleepUntilPoll(POLL_MS + random() * POLL_JITTER_MS)
+			if (this.hasEraChanged && !(await this.registerAgain())) continue
 			const items = await this.options.store.listStale(this.options.listPrefix)
 			if (!E.isRight(items)) continue
-			this.adopt(items.right)
+			this.applyItems(items.right)
 			this.isSettled = true
 		}
 	}
 
 	/** The store came back from a copy, which may lack the item of this box. */
-	private get isLost(): boolean {
-		return this.options.store.era !== this.joinedIn
+	private get hasEraChanged(): boolean {
+		return this.options.store.era !== this.registeredEra
 	}
 
 	/** Sleeps for some time, or until the store came back from a copy. */
-	private async untilPoll(ms: number): Promise<void> {
-		for (let slept = 0; slept < ms && !this.isLost && !this.stopped; slept += LOST_POLL_MS)
-			await this.options.sleep(Math.min(LOST_POLL_MS, ms - slept))
+	private async sleepUntilPoll(ms: number): Promise<void> {
+		for (let slept = 0; slept < ms && !this.hasEraChanged && !this.stopped; slept += ERA_POLL_MS)
+			await this.options.sleep(Math.min(ERA_POLL_MS, ms - slept))
 	}
 
 	/** Writes the item of this box where the store lacks it. All boxes do that at once: they spread. */
-	private async joinAgain(): Promise<boolean> {
+	private async registerAgain(): Promise<boolean> {
 		const { random, sleep } = this.options
-		await sleep(random() * JOIN_AGAIN_SPREAD_MS)
-		if ((await this.writeOwn()) !== undefined) return true
+		await sleep(random() * REGISTER_JITTER_MS)
+		if ((await this.register()) !== undefined) return true
 		await sleep(RETRY_MS)
 		return false
 	}
@@ -114,33 +114,33 @@
 
 	/** Boxes of the fleet, also those that are away; never 0. */
 	get size(): number {
-		return this.listed ? Math.max(1, this.members.length) : BOXES_BEFORE_LISTED
+		return this.isFleetKnown ? Math.max(1, this.members.length) : ASSUMED_FLEET_SIZE
 	}
 
 	/** Addresses of the boxes that this one asks for tokens, in order. */
 	lenderAddresses(account: AccountName): readonly string[] {
-		const known = this.lenders.get(account)
+		const known = this.cachedLenderAddresses.get(account)
 		if (known) return known
 		const addresses = lendersFor(account, this.members, this.options.self.zone)
 			.filter((member) => member.box !== this.options.self.box)
 			.map((member) => member.address)
-		this.lenders.set(account, addresses)
+		this.cachedLenderAddresses.set(account, addresses)
 		return addresses
 	}
 
 	/** Addresses of boxes that watch the store, in the order in which this one asks them. */
-	get watchers(): readonly string[] {
+	get watcherAddresses(): readonly string[] {
 		const { box } = this.options.self
-		this.watcherAddresses ??= watchersFor(this.members, this.options.self)
+		this.cachedWatcherAddresses ??= watchersFor(this.members, this.options.self)
 			.filter((member) => member.box !== box)
 			.map((member) => member.address)
-		return this.watcherAddresses
+		return this.cachedWatcherAddresses
 	}
 
 	/** Addresses of the other boxes that draw, those of other zones first: a zone may be lost as a whole. */
 	get lenderPeers(): readonly string[] {
-		this.lenderPeerAddresses ??= this.findLenderPeers()
-		return this.lenderPeerAddresses
+		this.cachedLenderPeers ??= this.findLenderPeers()
+		return this.cachedLenderPeers
 	}
 
 	private findLenderPeers(): readonly string[] {
@@ -157,73 +157,75 @@
 	}
 
 	/** Addresses of all other boxes. */
-	get others(): readonly string[] {
+	get otherAddresses(): readonly string[] {
 		const { box } = this.options.self
 		return this.members.filter((member) => member.box !== box).map((member) => member.address)
 	}
 
 	/** True where boxes are too many to tell each other what they do: lenders gather it. */
 	get isLarge(): boolean {
-		return this.members.length > MOST_EQUALS
+		return this.members.length > MAX_FULL_MESH_BOXES
 	}
 
 	/** Addresses of the boxes that this one tells of its work. */
 	get workPeers(): readonly string[] {
-		this.workAddresses ??= this.findWorkPeers()
-		return this.workAddresses
+		this.cachedWorkPeers ??= this.findWorkPeers()
+		return this.cachedWorkPeers
 	}
 
 	private findWorkPeers(): readonly string[] {
 		const { self } = this.options
-		if (this.isLarge && !this.isLender) return this.watchers.slice(0, 1)
+		if (this.isLarge && !this.isLender) return this.watcherAddresses.slice(0, 1)
 		const equals = this.isLarge ? allLenders(this.members) : this.members
 		return equals.filter((member) => member.box !== self.box).map((member) => member.address)
 	}
 
 	/** True once this box has written its item and knows the others. */
 	private async join(): Promise<boolean> {
-		const wasThere = await this.writeOwn()
+		const wasThere = await this.register()
 		if (wasThere === undefined) return false
 		if (!wasThere) await this.options.sleep(JOIN_SETTLE_MS)
 		const listing = await this.options.store.list(this.options.listPrefix)
 		if (E.isLeft(listing)) return this.logFault(listing.left)
-		this.adopt(listing.right.items)
-		this.listed = true
+		this.applyItems(listing.right.items)
+		this.isFleetKnown = true
 		this.isSettled = wasThere
 		return true
 	}
 
 	/** Whether the item of this box was there already; undefined where that could not be found out. */
-	private async writeOwn(): Promise<boolean | undefined> {
+	private async register(): Promise<boolean | undefined> {
 		const { store, prefix, self } = this.options
 		const key = `${prefix}${self.box}`
-		const value = encode(self)
+		const value = encodeMember(self)
 		const known = await store.read(key)
 		if (E.isLeft(known)) return this.logFault(known.left) || undefined
 		const { era } = store
 		if (known.right?.value.equals(value)) {
-			this.joinedIn = era
+			this.registeredEra = era
 			return true
 		}
 		const written = await store.write(key, value, known.right?.revision)
 		if (E.isLeft(written)) return this.logFault(written.left) || undefined
 		if (written.right.kind === 'conflict') return undefined
-		this.joinedIn = era
+		this.registeredEra = era
 		return false
 	}
 
-	private adopt(items: readonly StoreItem[]): void {
+	private applyItems(items: readonly StoreItem[]): void {
 		const { onListed, prefix } = this.options
 		onListed(items)
-		const members = this.withKnown(items.flatMap((item) => decode(item, prefix) ?? []))
+		const members = this.mergeKnownMembers(
+			items.flatMap((item) => decodeMember(item, prefix) ?? []),
+		)
 		const isSame = members.length === this.members.length
 		this.members = members
 		const boxes = members.map((member) => member.box).sort()
 		if (boxes.join() !== this.boxes.join()) this.boxes = boxes
-		this.lenders.clear()
-		this.watcherAddresses = undefined
-		this.workAddresses = undefined
-		this.lenderPeerAddresses = undefined
+		this.cachedLenderAddresses.clear()
+		this.cachedWatcherAddresses = undefined
+		this.cachedWorkPeers = undefined
+		this.cachedLenderPeers = undefined
 		const { box, zone } = this.options.self
 		this.isLender = lendersOfZone(members, zone).some((member) => member.box === box)
 		const lenders = allLenders(members).length
@@ -236,7 +238,7 @@
 	}
 
 	/** The listed boxes, and known ones that the list lacks: a store that came back from a copy may have lost them. */
-	private withKnown(listed: readonly FleetMember[]): readonly FleetMember[] {
+	private mergeKnownMembers(listed: readonly FleetMember[]): readonly FleetMember[] {
 		const boxes = new Set(listed.map(({ box }) => box))
 		return [...listed, ...this.members.filter(({ box }) => !boxes.has(box))]
 	}
@@ -247,13 +249,13 @@
 	}
 }
 
-function encode({ zone, address, cores }: FleetMember): Buffer {
+function encodeMember({ zone, address, cores }: FleetMember): Buffer {
 	const document: MemberDocument = { zone, address, cores }
 	return Buffer.from(JSON.stringify(document))
 }
 
 /** Undefined where an item is none of a box, or can't be read: that box is left out. */
-function decode(item: StoreItem, prefix: string): FleetMember | undefined {
+function decodeMember(item: StoreItem, prefix: string): FleetMember | undefined {
 	if (!item.key.startsWith(prefix)) return undefined
 	try {
 		const document = JSON.parse(item.value.toString('utf8')) as Partial<MemberDocument>
--- a/packages/gateway/src/lib/GatewayOptions.ts
+++ b/packages/gateway/src/lib/GatewayOptions.ts
@@ -4,13 +4,13 @@
 	Incarnation,
 	LogEvent,
 	RegionName,
-	RepeatLimits,
+	RetryLimits,
 	ZoneName,
 } from '@stallwing/core'
 import type { StoreConnection } from '@stallwing/store'
 import type { Metrics } from '@stallwing/telemetry'
 import type { Dialect } from './Dialect.js'
-import type { Documents } from './Documents.js'
+import type { StoreLayout } from './StoreLayout.js'
 import type { ListenAddress } from './listenOn.js'
 
 /** Ports that a gateway listens on. */
@@ -40,17 +40,17 @@
 	readonly isFirstStart: boolean
 	/** Reads a second that the store takes of all boxes together. */
 	readonly storeReadsPerSecond: number
-	readonly documents: Documents
+	readonly storeLayout: StoreLayout
 	readonly dialect: Dialect
-	readonly repeatLimits: RepeatLimits
+	readonly retryLimits: RetryLimits
 	/** What the fleet may send to a target that has just started. */
 	readonly coldLimits: ColdLimits
 	/** Time in which a new configuration has to be in force on every box, in ms. */
-	readonly configurationBoundMs: number
+	readonly configurationPropagationLimitMs: number
 	/** Time from the end of a disturbance after which a box must keep to what the store says, in ms. */
 	readonly contactMs: number
 	/** Time between the order to stop and the kill, in ms. */
-	readonly graceMs: number
+	readonly shutdownGraceMs: number
 	readonly metrics: Metrics
 	readonly log: (event: LogEvent) => void
 	/** Steady clock, in ms: stands still while the machine is suspended, and never runs ahead. For work, rates and promises on money. */
@@ -59,7 +59,7 @@
 	 * Clock that counts suspended time, in ms; it may run ahead, never behind. For ages of beliefs, graces, and the time
 	 * of callers.
 	 */
-	readonly worldNow: () => number
+	readonly suspendAwareNow: () => number
 	/** Time of day, in ms; it may jump. */
 	readonly wallTime: () => number
 	/** Time since this process started, in ms; at most so much in truth. */
--- a/packages/gateway/src/lib/GatewayReport.ts
+++ b/packages/gateway/src/lib/GatewayReport.ts
@@ -1,37 +1,37 @@
 import {
 	describeRevision,
 	type BoxName,
-	type NoticedTarget,
-	type TargetBoard,
+	type TargetNoticeStatus,
+	type TargetRegistry,
 	type ZoneName,
 } from '@stallwing/core'
 import type { AllowanceClient } from './AllowanceClient.js'
 import type { QuarantineStatus } from './CrashProtection.js'
 import type { FeedRelay } from './FeedRelay.js'
-import type { FleetRoster } from './FleetRoster.js'
+import type { FleetMembership } from './FleetMembership.js'
 import type { GatewayContext } from './GatewayContext.js'
-import type { LoopDelay } from './LoopDelay.js'
+import type { EventLoopDelay } from './EventLoopDelay.js'
 import type { TargetDirectory } from './TargetDirectory.js'
 import { roundAge } from './roundAge.js'
 
 /** What a {@link GatewayReport} reads. */
-export interface GatewayParts {
+export interface GatewayReportSources {
 	readonly context: GatewayContext
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly targets: TargetDirectory
 	readonly feed: FeedRelay
 	/** Era of the store, as far as this box knows. */
 	readonly storeEra: () => number
-	readonly roster: FleetRoster
+	readonly membership: FleetMembership
 	readonly allowance: AllowanceClient
-	readonly loopDelay: LoopDelay
+	readonly loopDelay: EventLoopDelay
 	/** Prefixes of the configuration and of the list of targets. */
 	readonly configPrefix: string
 	readonly targetsPrefix: string
 	/** Requests under way. */
-	readonly open: () => number
+	readonly openRequests: () => number
 	/** This box can serve callers. */
-	readonly ready: () => boolean
+	readonly isReady: () => boolean
 }
 
 /** A cordoned zone, as a box tells it. @public */
@@ -58,7 +58,7 @@
 	readonly coldTargets: number
 	readonly cordonedZones: readonly CordonStatus[]
 	/** Targets that get less work of this box, or none, because of what they said of themselves. */
-	readonly noticedTargets: readonly NoticedTarget[]
+	readonly noticedTargets: readonly TargetNoticeStatus[]
 	/** Requests that end their targets, and aren't sent to any. */
 	readonly quarantined: readonly QuarantineStatus[]
 	/** Requests under way. */
@@ -67,31 +67,39 @@
 
 /** Figures of a gateway that are read rather than counted. */
 export class GatewayReport {
-	constructor(private readonly parts: GatewayParts) {}
+	constructor(private readonly sources: GatewayReportSources) {}
 
 	status(): GatewayStatus {
-		const { board, context, open, ready, storeEra } = this.parts
+		const { registry: board, context, openRequests: open, isReady: ready, storeEra } = this.sources
 		const now = context.now()
 		return {
 			box: context.box,
 			zone: context.zone,
 			ready: ready(),
 			configuration: context.traffic?.index.config.version ?? -1,
-			configurationWordAgeMs: this.wordAgeMs,
+			configurationWordAgeMs: this.configurationAgeMs,
 			storeEra: storeEra(),
 			configurationRevision: context.traffic ? describeRevision(context.traffic.revision) : '',
 			targets: board.size,
 			coldTargets: board.coldCount(now),
-			cordonedZones: this.cordons(now),
-			noticedTargets: board.noticedTargets(now),
-			quarantined: context.crashes.status,
+			cordonedZones: this.cordonStatuses(now),
+			noticedTargets: board.noticeStatuses(now),
+			quarantined: context.crashProtection.status,
 			open: open(),
 		}
 	}
 
 	/** For the metrics, by name with labels. */
 	gauges(): Record<string, number> {
-		const { allowance, context, feed, loopDelay, roster, targets, targetsPrefix } = this.parts
+		const {
+			allowance,
+			context,
+			feed,
+			loopDelay,
+			membership: roster,
+			targets,
+			targetsPrefix,
+		} = this.sources
 		const { traffic } = context
 		const status = this.status()
 		const gauges: Record<string, number> = {
@@ -99,25 +107,27 @@
 			stallwing_targets: status.targets,
 			stallwing_targets_lapsed: targets.lapsedCount,
 			stallwing_targets_unreadable: targets.unreadableCount,
-			stallwing_suspect_requests: context.crashes.suspects,
+			stallwing_suspect_requests: context.crashProtection.suspects,
 			stallwing_quarantined_requests: status.quarantined.length,
 			stallwing_targets_cold: status.coldTargets,
-			stallwing_targets_said_leaving: countOf(
+			stallwing_targets_said_leaving: countWhere(
 				status.noticedTargets,
 				(row) => row.leavingForMs !== undefined,
 			),
-			stallwing_targets_in_backoff: countOf(status.noticedTargets, (row) => row.backoffMs > 0),
-			stallwing_targets_naming_rates: countOf(
+			stallwing_targets_in_backoff: countWhere(status.noticedTargets, (row) => row.backoffMs > 0),
+			stallwing_targets_naming_rates: countWhere(
 				status.noticedTargets,
 				(row) => row.rate !== undefined,
 			),
-			stallwing_targets_word_age_ms: roundAge(feed.ageMs(targetsPrefix)),
+			stallwing_targets_word_age_ms: roundAge(feed.confirmationAgeMs(targetsPrefix)),
 			stallwing_configuration_version: status.configuration,
 			stallwing_store_era: status.storeEra,
-			stallwing_configuration_age_ms: traffic ? Math.round(context.worldNow() - traffic.since) : -1,
+			stallwing_configuration_age_ms: traffic
+				? Math.round(context.suspendAwareNow() - traffic.since)
+				: -1,
 			stallwing_configuration_word_age_ms: status.configurationWordAgeMs,
 			stallwing_ready: status.ready ? 1 : 0,
-			stallwing_loop_delay_ms: Math.round(loopDelay.ms),
+			stallwing_loop_delay_ms: Math.round(loopDelay.sustainedMs),
 			stallwing_boxes: roster.size,
 		}
 		for (const { zone, ageMs } of status.cordonedZones)
@@ -136,19 +146,19 @@
 		return gauges
 	}
 
-	private cordons(now: number): readonly CordonStatus[] {
-		const { board } = this.parts
+	private cordonStatuses(now: number): readonly CordonStatus[] {
+		const { registry: board } = this.sources
 		return board.cordonedZones.map((zone) => ({
 			zone,
 			ageMs: Math.round(board.cordonAgeMs(zone, now) ?? 0),
 		}))
 	}
 
-	private get wordAgeMs(): number {
-		return roundAge(this.parts.feed.ageMs(this.parts.configPrefix))
+	private get configurationAgeMs(): number {
+		return roundAge(this.sources.feed.confirmationAgeMs(this.sources.configPrefix))
 	}
 }
 
-function countOf<T>(rows: readonly T[], isCounted: (row: T) => boolean): number {
+function countWhere<T>(rows: readonly T[], isCounted: (row: T) => boolean): number {
 	return rows.filter(isCounted).length
 }
--- a/packages/gateway/src/lib/LeavingSharing.test.ts
+++ b/packages/gateway/src/lib/LeavingSharing.test.ts
@@ -1,14 +1,20 @@
-import { TargetBoard, brandId, lifeOf, type LogEvent, type TargetEntry } from '@stallwing/core'
+import {
+	TargetRegistry,
+	brandId,
+	incarnationOf,
+	type LogEvent,
+	type TargetEntry,
+} from '@stallwing/core'
 import { Metrics } from '@stallwing/telemetry'
 import * as fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { LeavingSharing } from './LeavingSharing.js'
 import { decodeLeaving, encodeLeaving } from './leavingCodec.js'
 import type { DatagramHandler, PeerDatagrams } from './PeerDatagrams.js'
-import { entryOf } from './testBox.js'
+import { targetEntryOf } from './testBox.js'
 
 const BORN = 1_800_000_000_000
-const READY: TargetEntry = { ...entryOf('t', 'unused:1'), bornAt: BORN }
+const READY: TargetEntry = { ...targetEntryOf('t', 'unused:1'), bornAt: BORN }
 /** Time from the word of a target to its end where nobody waits for the store, in ms. */
 const SPOT_MS = 2_000
 /** Time that a request runs, and from its arrival to the head of its answer, in ms. */
@@ -22,13 +28,13 @@
 	sent = 0
 	/** Datagrams are lost. */
 	isApart = false
-	readonly boards: readonly TargetBoard[]
+	readonly boards: readonly TargetRegistry[]
 	readonly logged: LogEvent[] = []
 	private readonly handlers: DatagramHandler[] = []
 	private readonly sharings: readonly LeavingSharing[]
 
 	constructor(boxes: number) {
-		this.boards = Array.from({ length: boxes }, () => new TargetBoard())
+		this.boards = Array.from({ length: boxes }, () => new TargetRegistry())
 		this.list([READY])
 		this.sharings = this.boards.map((board, self) => this.makeSharing(board, self))
 	}
@@ -48,14 +54,14 @@
 
 	uses(box: number): boolean {
 		const board = this.boards[box]
-		return board !== undefined && board.isListed(lifeOf(READY), READY.name)
+		return board !== undefined && board.isAvailable(incarnationOf(READY), READY.name)
 	}
 
 	get users(): number {
 		return this.boards.filter((_, box) => this.uses(box)).length
 	}
 
-	private makeSharing(board: TargetBoard, self: number): LeavingSharing {
+	private makeSharing(board: TargetRegistry, self: number): LeavingSharing {
 		const datagrams: Pick<PeerDatagrams, 'onMessage' | 'send'> = {
 			onMessage: (handler) => (this.handlers[self] = handler),
 			send: (bytes, peer) => {
@@ -64,7 +70,7 @@
 			},
 		}
 		return new LeavingSharing({
-			board,
+			registry: board,
 			datagrams: datagrams as PeerDatagrams,
 			peers: () => this.boards.flatMap((_, box) => (box === self ? [] : [String(box)])),
 			onHeard: () => undefined,
@@ -111,7 +117,7 @@
 		const later = { ...READY, bornAt: BORN + 5_000, revision: { era: 1, number: 2 } }
 		fleet.boards[1]?.replace([later], Date.now())
 		vi.advanceTimersByTime(1_000)
-		expect(fleet.boards[1]?.isListed(lifeOf(later), later.name)).toBe(true)
+		expect(fleet.boards[1]?.isAvailable(incarnationOf(later), later.name)).toBe(true)
 	})
 
 	it('leaves a box that was not reached to hear it from the target', () => {
--- a/packages/gateway/src/lib/LeavingSharing.ts
+++ b/packages/gateway/src/lib/LeavingSharing.ts
@@ -1,16 +1,21 @@
-import { lifeOf, type LogEvent, type TargetBoard, type TargetStart } from '@stallwing/core'
+import {
+	incarnationOf,
+	type LogEvent,
+	type TargetRegistry,
+	type TargetIdentity,
+} from '@stallwing/core'
 import type { Metrics } from '@stallwing/telemetry'
 import { decodeLeaving, encodeLeaving } from './leavingCodec.js'
 import type { PeerDatagrams } from './PeerDatagrams.js'
 
 /** What a {@link LeavingSharing} works with. */
 export interface LeavingSharingOptions {
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly datagrams: PeerDatagrams
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
 	/** Another box told that a target leaves, which is news to this one. */
-	readonly onHeard: (target: TargetStart) => void
+	readonly onHeard: (target: TargetIdentity) => void
 	readonly metrics: Metrics
 	/** Steady clock, in ms. */
 	readonly now: () => number
@@ -32,7 +37,7 @@
  * pass on what they were told. On a calm day nothing is sent.
  */
 export class LeavingSharing {
-	private news: TargetStart[] = []
+	private news: TargetIdentity[] = []
 	private waiting: NodeJS.Timeout | undefined
 
 	constructor(private readonly options: LeavingSharingOptions) {
@@ -44,13 +49,13 @@
 	}
 
 	/** A target told this box that it leaves. */
-	tell({ name, bornAt }: TargetStart): void {
+	tell({ name, bornAt }: TargetIdentity): void {
 		this.news.push({ name, bornAt })
 		this.waiting ??= setTimeout(() => this.tellNews(), LIST_MS)
 	}
 
 	private tellNews(): void {
-		const { board, datagrams, peers } = this.options
+		const { registry: board, datagrams, peers } = this.options
 		this.waiting = undefined
 		const unlisted = this.news.filter((target) => board.isListedAsReady(target))
 		this.news = []
@@ -67,11 +72,14 @@
 		return true
 	}
 
-	private hear(target: TargetStart): void {
-		const { board, log, metrics, now, onHeard } = this.options
+	private hear(target: TargetIdentity): void {
+		const { registry: board, log, metrics, now, onHeard } = this.options
 		if (!board.isListedAsReady(target) || !board.noteLeaving(target, now())) return
 		metrics.count('stallwing_target_notices_total', 'event="target-heard-leaving"')
-		log({ name: 'target-heard-leaving', fields: { target: target.name, life: lifeOf(target) } })
+		log({
+			name: 'target-heard-leaving',
+			fields: { target: target.name, life: incarnationOf(target) },
+		})
 		onHeard(target)
 	}
 }
--- a/packages/gateway/src/lib/PeerClient.ts
+++ b/packages/gateway/src/lib/PeerClient.ts
@@ -1,15 +1,15 @@
 import type { AccountName, BoxName, StoreRevision, TargetWork } from '@stallwing/core'
-import { HttpCaller } from '@stallwing/store'
+import { HttpClient } from '@stallwing/store'
 import {
-	NOTHING_LENT,
-	type AccountLeft,
-	type LendAnswer,
+	EMPTY_LEND_RESPONSE,
+	type RemainingBudget,
+	type LendResponse,
 	type LendRequest,
-	type Lenders,
+	type TokenPeers,
 } from './TokenLending.js'
-import type { ToldDraws } from './DrawTelling.js'
-import { decodeFeedAnswer } from './feedCodec.js'
-import type { FeedAnswer } from './answerFeed.js'
+import type { ReplicatedDraws } from './DrawReplicator.js'
+import { decodeFeedResponse } from './feedCodec.js'
+import type { FeedResponse } from './handleFeedRequest.js'
 import type { FeedPeers } from './PeerFeeds.js'
 import { parseAddress } from './parseAddress.js'
 import { fromWireWork } from './workCodec.js'
@@ -33,9 +33,9 @@
 const AVOID_MS = 1_500
 
 /** Asks other boxes. */
-export class PeerClient implements Lenders, FeedPeers {
-	private readonly callers = new Map<string, HttpCaller>()
-	private readonly changesCallers = new Map<string, HttpCaller>()
+export class PeerClient implements TokenPeers, FeedPeers {
+	private readonly callers = new Map<string, HttpClient>()
+	private readonly changesCallers = new Map<string, HttpClient>()
 	/** Boxes that did not answer, and until when they are not asked. */
 	private readonly avoidedUntil = new Map<string, number>()
 
@@ -46,8 +46,12 @@
 		private readonly onFleetWork: (work: readonly TargetWork[]) => void,
 	) {}
 
-	async ask(address: string, account: AccountName, request: LendRequest): Promise<LendAnswer> {
-		if (this.isAvoided(address)) return NOTHING_LENT
+	async requestTokens(
+		address: string,
+		account: AccountName,
+		request: LendRequest,
+	): Promise<LendResponse> {
+		if (this.isAvoided(address)) return EMPTY_LEND_RESPONSE
 		const { tokens, ahead } = request
 		const fields = { account, tokens: String(tokens), ahead: String(ahead), box: this.box }
 		const began = this.now()
@@ -62,7 +66,7 @@
 			// A box that was busy itself for longer than the wait says nothing about the other.
 			if (this.now() - began < ASK_MS + OWN_LAG_MS)
 				this.avoidedUntil.set(address, this.now() + AVOID_MS)
-			return NOTHING_LENT
+			return EMPTY_LEND_RESPONSE
 		}
 	}
 
@@ -71,7 +75,7 @@
 		prefix: string,
 		after: StoreRevision,
 		waitMs: number,
-	): Promise<FeedAnswer | undefined> {
+	): Promise<FeedResponse | undefined> {
 		const fields = {
 			prefix,
 			era: String(after.era),
@@ -83,21 +87,21 @@
 		try {
 			const caller = callerOf(this.changesCallers, address, CHANGES_CONNECTIONS)
 			const reply = await caller.send({ method: 'GET', path, timeoutMs })
-			return reply.status === 200 ? decodeFeedAnswer(reply.text, after.era) : undefined
+			return reply.status === 200 ? decodeFeedResponse(reply.text, after.era) : undefined
 		} catch {
 			return undefined
 		}
 	}
 
-	async tellDraws(address: string, told: ToldDraws): Promise<boolean> {
+	async sendDraws(address: string, told: ReplicatedDraws): Promise<boolean> {
 		return (await this.statusOf(address, 'POST', DRAWS_PATH, told)) === 200
 	}
 
-	async isOpen(address: string): Promise<boolean> {
+	async isReachable(address: string): Promise<boolean> {
 		return (await this.statusOf(address, 'GET', OPEN_PATH)) === 200
 	}
 
-	async give(
+	async transferTokens(
 		address: string,
 		account: AccountName,
 		tokens: number,
@@ -129,13 +133,13 @@
 		return (this.avoidedUntil.get(address) ?? 0) > this.now()
 	}
 
-	private caller(address: string): HttpCaller {
+	private caller(address: string): HttpClient {
 		return callerOf(this.callers, address, CONNECTIONS)
 	}
 
 	/** @throws where the text is no JSON document. */
-	private readLendAnswer(text: string): LendAnswer {
-		const body = JSON.parse(text) as Partial<Record<keyof LendAnswer | 'work', unknown>>
+	private readLendAnswer(text: string): LendResponse {
+		const body = JSON.parse(text) as Partial<Record<keyof LendResponse | 'work', unknown>>
 		const work = fromWireWork(body.work)
 		if (work) this.onFleetWork(work)
 		const lent = typeof body.lent === 'number' ? body.lent : 0
@@ -147,7 +151,7 @@
 }
 
 /** Rows of an account and what may be left of it; empty where the document is no such list. */
-function readNearlySpent(rows: unknown): readonly AccountLeft[] {
+function readNearlySpent(rows: unknown): readonly RemainingBudget[] {
 	if (!Array.isArray(rows)) return []
 	return (rows as readonly (readonly [AccountName, number])[]).map(([account, left]) => ({
 		account,
@@ -157,13 +161,13 @@
 
 /** The caller of an address, made at the first call. */
 function callerOf(
-	callers: Map<string, HttpCaller>,
+	callers: Map<string, HttpClient>,
 	address: string,
 	connections: number,
-): HttpCaller {
+): HttpClient {
 	const known = callers.get(address)
 	if (known) return known
-	const caller = new HttpCaller({ ...parseAddress(address), connections })
+	const caller = new HttpClient({ ...parseAddress(address), maxConnections: connections })
 	callers.set(address, caller)
 	return caller
 }
--- a/packages/gateway/src/lib/PeerFeeds.ts
+++ b/packages/gateway/src/lib/PeerFeeds.ts
@@ -1,6 +1,6 @@
 import { describeRevision, type LogEvent, type StoreRevision } from '@stallwing/core'
 import type { StoreChange } from '@stallwing/store'
-import type { FeedAnswer } from './answerFeed.js'
+import type { FeedResponse } from './handleFeedRequest.js'
 import type { FeedState } from './FeedState.js'
 
 /** Calls to other boxes about changes in the store. */
@@ -11,7 +11,7 @@
 		prefix: string,
 		after: StoreRevision,
 		waitMs: number,
-	): Promise<FeedAnswer | undefined>
+	): Promise<FeedResponse | undefined>
 }
 
 /**
@@ -74,14 +74,14 @@
 	 */
 	async ask(feed: FeedState, prefix: string, after: StoreRevision): Promise<Heard> {
 		const watchers = this.options.watchers().slice(0, MOST_WATCHERS)
-		const waitMs = feed.isSilent ? 0 : RELAY_WAIT_MS
+		const waitMs = feed.hasNoSource ? 0 : RELAY_WAIT_MS
 		const askOne = (address: string): Promise<Heard> =>
 			this.askOne(feed, { address, prefix, after, waitMs })
-		const heard = await (feed.isSilent
+		const heard = await (feed.hasNoSource
 			? this.askInTurn(watchers, askOne)
 			: askFirstThenAll(watchers, askOne))
-		if (isWord(heard)) feed.isSilent = false
-		else feed.noteUnknown()
+		if (isWord(heard)) feed.hasNoSource = false
+		else feed.noteNoSource()
 		this.isAlone = heard.kind === 'silent'
 		return heard
 	}
@@ -112,13 +112,13 @@
 			this.avoidUntil.set(address, now() + AVOID_MS)
 			return { kind: 'silent' }
 		}
-		const { answeredMs, changes, listing, wordAgeMs } = answer
+		const { storeAvailableMs: answeredMs, changes, listing, confirmationAgeMs: wordAgeMs } = answer
 		const isFresh = wordAgeMs < freshMs
 		if (!isFresh && changes.length === 0 && !listing) return { kind: 'stale' }
-		if (isFresh) feed.noteVouched(now() - wordAgeMs)
-		if (answeredMs > 0) feed.noteAnswersSince(now() - answeredMs)
+		if (isFresh) feed.noteConfirmed(now() - wordAgeMs)
+		if (answeredMs > 0) feed.noteStoreAvailableSince(now() - answeredMs)
 		if (listing) {
-			if (!feed.take(listing)) return { kind: 'stale' }
+			if (!feed.applyListing(listing)) return { kind: 'stale' }
 			this.logTaken(question, listing.items.length)
 			return { kind: 'listed' }
 		}
--- a/packages/gateway/src/lib/PeerServer.ts
+++ b/packages/gateway/src/lib/PeerServer.ts
@@ -1,11 +1,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { brandId, type AccountName, type BoxName, type TargetWork } from '@stallwing/core'
-import type { AskedRevision } from './FeedRelay.js'
-import { encodeFeedAnswer } from './feedCodec.js'
-import type { ToldDraws } from './DrawTelling.js'
-import { readToldDraws } from './readToldDraws.js'
-import type { FeedAnswer } from './answerFeed.js'
-import type { LendAnswer, LendRequest } from './TokenLending.js'
+import type { RequestedRevision } from './FeedRelay.js'
+import { encodeFeedResponse } from './feedCodec.js'
+import type { ReplicatedDraws } from './DrawReplicator.js'
+import { readReplicatedDraws } from './readReplicatedDraws.js'
+import type { FeedResponse } from './handleFeedRequest.js'
+import type { LendResponse, LendRequest } from './TokenLending.js'
 import { toWireWork } from './workCodec.js'
 import { listenOn, type ListenAddress } from './listenOn.js'
 
@@ -24,17 +24,17 @@
 /** What other boxes may ask of this one. */
 export interface PeerHandlers {
 	/** Hands over tokens of an account; undefined where this box has given back all that it held. */
-	lend(account: AccountName, request: LendRequest): Promise<LendAnswer | undefined>
+	lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined>
 	/** Work at targets of all boxes but one, to go with an answer to that one. */
 	fleetWork(asker: BoxName): readonly TargetWork[]
 	/** Takes tokens over that were held under the configuration of a revision; false where this box can't. */
 	accept(account: AccountName, tokens: number, budgetsVersion: number): boolean
 	/** Takes what another box has drawn; false where that is of a history that is over. */
-	remember(told: ToldDraws): boolean
+	remember(told: ReplicatedDraws): boolean
 	/** Whether this box would take tokens over. */
 	isOpen(): boolean
 	/** Changes below a prefix after a revision, as soon as there are any. */
-	changes(prefix: string, after: AskedRevision, waitMs: number): Promise<FeedAnswer>
+	changes(prefix: string, after: RequestedRevision, waitMs: number): Promise<FeedResponse>
 }
 
 /** Serves the other boxes. Callers do not reach it. */
@@ -60,7 +60,7 @@
 	private async sendChanges(url: URL, response: ServerResponse): Promise<void> {
 		const prefix = url.searchParams.get('prefix') ?? ''
 		const era = url.searchParams.get('era')
-		const after: AskedRevision = {
+		const after: RequestedRevision = {
 			era: era === null ? undefined : Number(era),
 			number: Number(url.searchParams.get('after')),
 		}
@@ -71,7 +71,7 @@
 			return
 		}
 		const answer = await this.handlers.changes(prefix, after, waitMs)
-		sendJson(response, 200, encodeFeedAnswer(answer))
+		sendJson(response, 200, encodeFeedResponse(answer))
 	}
 
 	private async lend(
@@ -105,7 +105,7 @@
 			return
 		}
 		if (url.pathname === DRAWS_PATH) {
-			const told = await readToldDraws(message)
+			const told = await readReplicatedDraws(message)
 			response.writeHead(told && this.handlers.remember(told) ? 200 : 503).end()
 			return
 		}
--- a/packages/gateway/src/lib/PeerSharing.ts
+++ b/packages/gateway/src/lib/PeerSharing.ts
@@ -1,7 +1,7 @@
 import type { KeyValueStore } from '@stallwing/store'
-import type { TargetBoard } from '@stallwing/core'
+import type { TargetRegistry } from '@stallwing/core'
 import { CrashProtection } from './CrashProtection.js'
-import type { FleetRoster } from './FleetRoster.js'
+import type { FleetMembership } from './FleetMembership.js'
 import type { GatewayOptions } from './GatewayOptions.js'
 import { LeavingSharing } from './LeavingSharing.js'
 import type { ListenAddress } from './listenOn.js'
@@ -14,9 +14,9 @@
 export interface PeerSharingOptions {
 	readonly gateway: GatewayOptions
 	readonly store: KeyValueStore
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly pools: TargetPools
-	readonly roster: FleetRoster
+	readonly membership: FleetMembership
 }
 
 /** All that boxes tell each other by datagram: work at targets, requests that end targets, targets that leave or name rates. */
@@ -28,13 +28,13 @@
 	private readonly datagrams = new PeerDatagrams()
 	private readonly address: ListenAddress
 
-	constructor({ board, gateway, pools, roster, store }: PeerSharingOptions) {
+	constructor({ registry: board, gateway, pools, membership: roster, store }: PeerSharingOptions) {
 		const { datagrams } = this
 		this.address = gateway.listen.peers
 		this.work = new WorkSharing({
 			datagrams,
 			box: gateway.box,
-			board,
+			registry: board,
 			peers: () => roster.workPeers,
 			isHub: () => roster.isLarge && roster.isLender,
 			now: gateway.now,
@@ -42,20 +42,25 @@
 		this.crashes = new CrashProtection({
 			...gateway,
 			store,
-			key: gateway.documents.quarantineKey,
-			board,
-			pool: (target) => pools.of(target),
+			key: gateway.storeLayout.quarantineKey,
+			registry: board,
+			pool: (target) => pools.poolFor(target),
 			datagrams,
-			peers: () => roster.others,
+			peers: () => roster.otherAddresses,
 		})
 		this.leaving = new LeavingSharing({
 			...gateway,
-			board,
+			registry: board,
 			datagrams,
-			peers: () => roster.others,
-			onHeard: ({ name }) => pools.dropIdle(name),
+			peers: () => roster.otherAddresses,
+			onHeard: ({ name }) => pools.closeIdle(name),
+		})
+		this.rates = new RateSharing({
+			...gateway,
+			registry: board,
+			datagrams,
+			peers: () => roster.otherAddresses,
 		})
-		this.rates = new RateSharing({ ...gateway, board, datagrams, peers: () => roster.others })
 	}
 
 	async start(): Promise<void> {
--- a/packages/gateway/src/lib/QuarantineSharing.test.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.test.ts
@@ -2,7 +2,7 @@
 	RequestQuarantine,
 	brandId,
 	type RequestFingerprint,
-	type TargetLife,
+	type TargetIncarnation,
 } from '@stallwing/core'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import type { DatagramHandler, PeerDatagrams } from './PeerDatagrams.js'
@@ -31,8 +31,8 @@
 	/** A target ends under the request; a box sees it. */
 	crash(box: number, life: string): void {
 		const now = Date.now()
-		const run = { life: brandId<TargetLife>(life), beganAt: now - 50, endedAt: now }
-		const record = this.quarantines[box]?.noteCrash(REQUEST, run, now)
+		const run = { life: brandId<TargetIncarnation>(life), beganAt: now - 50, endedAt: now }
+		const record = this.quarantines[box]?.recordCrash(REQUEST, run, now)
 		if (record) this.sharings[box]?.tell(record)
 	}
 
--- a/packages/gateway/src/lib/QuarantineSharing.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.ts
@@ -68,7 +68,7 @@
 	private remind(): void {
 		const { now, peers, quarantine, random } = this.options
 		const newest = now() - REMIND_FOR_MS
-		const records = quarantine.held.filter((record) => record.changedAt >= newest)
+		const records = quarantine.restricted.filter((record) => record.changedAt >= newest)
 		if (records.length === 0) return
 		const all = peers()
 		const some = Array.from({ length: REMINDED }, () => all[Math.floor(random() * all.length)])
@@ -92,7 +92,7 @@
 		const { now, onHeard, quarantine } = this.options
 		const records = decodeCrashes(bytes, now())
 		if (!records) return false
-		for (const record of quarantine.newerThan(records)) this.tell(record)
+		for (const record of quarantine.newerRecords(records)) this.tell(record)
 		const changed = quarantine.merge(records)
 		if (changed.length > 0) onHeard(changed)
 		return true
--- a/packages/gateway/src/lib/QuarantineStore.test.ts
+++ b/packages/gateway/src/lib/QuarantineStore.test.ts
@@ -3,7 +3,7 @@
 	brandId,
 	type LogEvent,
 	type RequestFingerprint,
-	type TargetLife,
+	type TargetIncarnation,
 } from '@stallwing/core'
 import { MemoryStore, type CallFate } from '@stallwing/standins'
 import type { KeyValueStore } from '@stallwing/store'
@@ -41,8 +41,12 @@
 	crash(digit: string, times: number): void {
 		for (let i = 0; i < times; i++) {
 			const endedAt = Date.now() - 1_000 + 100 * i
-			const run = { life: brandId<TargetLife>(`${digit}-${i}`), beganAt: endedAt - 50, endedAt }
-			this.quarantine.noteCrash(identity(digit), run, Date.now())
+			const run = {
+				life: brandId<TargetIncarnation>(`${digit}-${i}`),
+				beganAt: endedAt - 50,
+				endedAt,
+			}
+			this.quarantine.recordCrash(identity(digit), run, Date.now())
 		}
 	}
 
--- a/packages/gateway/src/lib/RateSharing.test.ts
+++ b/packages/gateway/src/lib/RateSharing.test.ts
@@ -16,7 +16,7 @@
 	let next = 0
 	for (let spent = 0; spent < forMs; spent += STEP_MS) {
 		owed += (boxes * perBox * STEP_MS) / 1_000
-		for (; owed >= 1; owed--) fleet.ask(next++ % boxes)
+		for (; owed >= 1; owed--) fleet.sendRequest(next++ % boxes)
 		vi.advanceTimersByTime(STEP_MS)
 	}
 }
@@ -35,7 +35,11 @@
 
 	it.each([7, 75, 499])('spares a target one request of each of %i boxes', (boxes) => {
 		const askAll = (areInTouch: boolean): number => {
-			fleet = new RateFleet({ boxes, named: () => named, areInTouch: () => areInTouch })
+			fleet = new RateFleet({
+				boxCount: boxes,
+				advertisedRate: () => named,
+				areConnected: () => areInTouch,
+			})
 			play(fleet, boxes, WINDOW_MS, 4)
 			return fleet.requests.length
 		}
@@ -46,25 +50,25 @@
 	})
 
 	it.each([7, 75, 499])('keeps all of %i boxes to the rate, and uses most of it', (boxes) => {
-		fleet = new RateFleet({ boxes, named: () => named })
+		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
 		play(fleet, boxes, 20_000, 4)
-		expect(fleet.mostIn(WINDOW_MS, 1_000)).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
+		expect(fleet.maxRequestsIn(WINDOW_MS, 1_000)).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
 		const later = fleet.requests.filter(({ at }) => at > 4_000).length
 		expect(later).toBeGreaterThan(0.7 * RATE * 16)
 		expect(later).toBeLessThanOrEqual(RATE * 16 + 6)
 	})
 
 	it.each([7, 75, 499])('tells %i boxes when the target names none any more', (boxes) => {
-		fleet = new RateFleet({ boxes, named: () => named })
+		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
 		play(fleet, boxes, 6_000, 4)
-		expect(fleet.free).toBe(0)
+		expect(fleet.unlimitedBoxCount).toBe(0)
 		named = undefined
 		play(fleet, boxes, 1_500, 4)
-		expect(fleet.free).toBe(boxes)
+		expect(fleet.unlimitedBoxCount).toBe(boxes)
 	})
 
 	it.each([0, 0.25, 50])('follows a target that names %d instead, and its end', (other) => {
-		fleet = new RateFleet({ boxes: 7, named: () => named })
+		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
 		play(fleet, 7, 5_000, 4)
 		named = other
 		play(fleet, 7, 12_000, 4)
@@ -72,12 +76,16 @@
 		expect(since).toBeLessThanOrEqual(other * 8 + 6)
 		named = undefined
 		play(fleet, 7, 15_000, 4)
-		expect(fleet.free).toBe(7)
+		expect(fleet.unlimitedBoxCount).toBe(7)
 	})
 
 	it('lets a box that heard nothing of the end find out by itself, with one request at a time', () => {
 		let isApart = false
-		fleet = new RateFleet({ boxes: 75, named: () => named, areInTouch: () => !isApart })
+		fleet = new RateFleet({
+			boxCount: 75,
+			advertisedRate: () => named,
+			areConnected: () => !isApart,
+		})
 		play(fleet, 75, 6_000, 4)
 		isApart = true
 		play(fleet, 75, 3_000, 4)
@@ -87,24 +95,24 @@
 		expect(fleet.requests.length - before).toBeLessThan(75 * 4 + RATE * 20)
 		named = undefined
 		play(fleet, 75, 11_000, 4)
-		expect(fleet.free).toBe(75)
+		expect(fleet.unlimitedBoxCount).toBe(75)
 	})
 
 	it('says nothing where no target names a rate', () => {
 		named = undefined
-		fleet = new RateFleet({ boxes: 7, named: () => named })
+		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
 		play(fleet, 7, 5_000, 4)
-		expect([fleet.datagrams, fleet.logged.length]).toEqual([0, 0])
+		expect([fleet.datagramCount, fleet.logEvents.length]).toEqual([0, 0])
 	})
 
 	it('says a rate that stays the same some times in 10 s, with one line at each box', () => {
-		fleet = new RateFleet({ boxes: 499, named: () => named })
+		fleet = new RateFleet({ boxCount: 499, advertisedRate: () => named })
 		play(fleet, 499, 2_000, 1)
-		const [datagrams, bytes] = [fleet.datagrams, fleet.bytes]
+		const [datagrams, bytes] = [fleet.datagramCount, fleet.byteCount]
 		play(fleet, 499, 10_000, 1)
-		expect(fleet.datagrams - datagrams).toBeLessThanOrEqual(6 * 498)
-		expect((fleet.bytes - bytes) / 10).toBeLessThan(20_000)
-		expect(fleet.logged.length).toBeLessThanOrEqual(499)
+		expect(fleet.datagramCount - datagrams).toBeLessThanOrEqual(6 * 498)
+		expect((fleet.byteCount - bytes) / 10).toBeLessThan(20_000)
+		expect(fleet.logEvents.length).toBeLessThanOrEqual(499)
 	})
 })
 
--- a/packages/gateway/src/lib/RateSharing.ts
+++ b/packages/gateway/src/lib/RateSharing.ts
@@ -1,9 +1,9 @@
 import {
-	lifeOf,
+	incarnationOf,
 	type LogEvent,
-	type TargetBoard,
-	type TargetLife,
-	type TargetStart,
+	type TargetRegistry,
+	type TargetIncarnation,
+	type TargetIdentity,
 } from '@stallwing/core'
 import type { Metrics } from '@stallwing/telemetry'
 import type { PeerDatagrams } from './PeerDatagrams.js'
@@ -11,7 +11,7 @@
 
 /** What a {@link RateSharing} works with. */
 export interface RateSharingOptions {
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly datagrams: Pick<PeerDatagrams, 'onMessage' | 'send'>
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
@@ -44,7 +44,7 @@
 	private news: RateWord[] = []
 	private waiting: NodeJS.Timeout | undefined
 	/** When each rate that holds was last told, by this box or another. */
-	private readonly toldAt = new Map<TargetLife, number>()
+	private readonly toldAt = new Map<TargetIncarnation, number>()
 
 	constructor(private readonly options: RateSharingOptions) {
 		options.datagrams.onMessage((bytes) => this.receive(bytes))
@@ -55,16 +55,16 @@
 	}
 
 	/** A target told this box its rate, or the end of it (undefined); `isNews`: another than was known. */
-	note(target: TargetStart, perSecond: number | undefined, isNews: boolean): void {
+	note(target: TargetIdentity, perSecond: number | undefined, isNews: boolean): void {
 		const now = this.options.now()
-		const life = lifeOf(target)
+		const life = incarnationOf(target)
 		if (!isNews && now - (this.toldAt.get(life) ?? Number.NEGATIVE_INFINITY) < AGAIN_MS) return
 		this.noteTold(life, perSecond, now)
 		this.news.push({ name: target.name, bornAt: target.bornAt, perSecond, saidAt: now })
 		this.waiting ??= setTimeout(() => this.tellNews(), GATHER_MS)
 	}
 
-	private noteTold(life: TargetLife, perSecond: number | undefined, now: number): void {
+	private noteTold(life: TargetIncarnation, perSecond: number | undefined, now: number): void {
 		this.toldAt.delete(life)
 		if (perSecond === undefined) return
 		this.toldAt.set(life, now)
@@ -91,14 +91,14 @@
 	}
 
 	private hear(word: RateWord): void {
-		const { board, log, metrics, now } = this.options
+		const { registry: board, log, metrics, now } = this.options
 		const { perSecond, saidAt } = word
-		this.noteTold(lifeOf(word), perSecond, now())
+		this.noteTold(incarnationOf(word), perSecond, now())
 		if (!board.noteRate(word, perSecond, saidAt)) return
 		metrics.count('stallwing_target_notices_total', 'event="target-heard-rate"')
 		const fields = {
 			target: word.name,
-			life: lifeOf(word),
+			life: incarnationOf(word),
 			perSecond: perSecond ?? -1,
 			ageMs: Math.round(now() - saidAt),
 		}
--- a/packages/gateway/src/lib/ReadinessServer.ts
+++ b/packages/gateway/src/lib/ReadinessServer.ts
@@ -12,7 +12,7 @@
 		private readonly log: (event: LogEvent) => void,
 	) {
 		this.server = createServer((_message, response) => {
-			response.writeHead(this.look() ? 200 : 503, { 'Content-Length': 0 })
+			response.writeHead(this.checkReadiness() ? 200 : 503, { 'Content-Length': 0 })
 			response.end()
 		})
 	}
@@ -26,7 +26,7 @@
 		this.server.close()
 	}
 
-	private look(): boolean {
+	private checkReadiness(): boolean {
 		const ready = this.isReady()
 		if (ready !== this.wasReady) this.log({ name: 'ready-changed', fields: { ready } })
 		this.wasReady = ready
--- a/packages/gateway/src/lib/Refusal.ts
+++ b/packages/gateway/src/lib/Refusal.ts
@@ -46,7 +46,7 @@
 }
 
 /** Refusals after which a caller may come back with the same request. */
-const WORTH_RETRYING: ReadonlySet<RefusalKind> = new Set([
+const RETRYABLE_KINDS: ReadonlySet<RefusalKind> = new Set([
 	'not-configured',
 	'configuration-old',
 	'budget-unknown',
@@ -58,16 +58,21 @@
 ])
 
 /** Pause that a caller is asked for at least, and the spread that keeps callers apart. */
-const RETRY_AFTER_MS = 100
-const RETRY_SPREAD_MS = 200
+const MIN_RETRY_AFTER_MS = 100
+const RETRY_AFTER_JITTER_MS = 200
 
 /**
  * Makes a refusal; `random` in [0, 1) spreads the callers that come back, who are asked to wait for `opensInMs` at
  * least: before that time it is known to be in vain.
  */
-export function refusal(kind: RefusalKind, detail: string, random: number, opensInMs = 0): Refusal {
-	const retryAfterMs = WORTH_RETRYING.has(kind)
-		? Math.round(Math.max(RETRY_AFTER_MS, opensInMs) + random * RETRY_SPREAD_MS)
+export function createRefusal(
+	kind: RefusalKind,
+	detail: string,
+	random: number,
+	opensInMs = 0,
+): Refusal {
+	const retryAfterMs = RETRYABLE_KINDS.has(kind)
+		? Math.round(Math.max(MIN_RETRY_AFTER_MS, opensInMs) + random * RETRY_AFTER_JITTER_MS)
 		: undefined
 	return { kind, detail, retryAfterMs }
 }
--- a/packages/gateway/src/lib/RequestContent.ts
+++ b/packages/gateway/src/lib/RequestContent.ts
@@ -5,7 +5,7 @@
 /** What a request asks for, whoever sends it again: a cheap hint of it at once, a hash of it all when asked for. */
 export class RequestContent implements RequestIdentity {
 	readonly hint: number
-	private known: RequestFingerprint | undefined
+	private cachedFingerprint: RequestFingerprint | undefined
 
 	constructor(
 		private readonly request: Pick<CallerRequest, 'method' | 'path' | 'account'>,
@@ -16,7 +16,7 @@
 	}
 
 	get fingerprint(): RequestFingerprint {
-		this.known ??= requestFingerprint(this.request, this.body)
-		return this.known
+		this.cachedFingerprint ??= requestFingerprint(this.request, this.body)
+		return this.cachedFingerprint
 	}
 }
--- a/packages/gateway/src/lib/DrawWaiters.ts
+++ b/packages/gateway/src/lib/ReservationQueue.ts
@@ -4,7 +4,7 @@
 export type ReserveResult = 'reserved' | 'spent' | 'unknown'
 
 /** A request that waits for the next draw. */
-interface Waiter {
+interface QueuedReservation {
 	readonly account: AccountName
 	readonly tokens: number
 	readonly resolve: (result: ReserveResult) => void
@@ -12,43 +12,46 @@
 }
 
 /** Requests that wait for a draw, in order of arrival. */
-export class DrawWaiters {
-	private waiters: Waiter[] = []
+export class ReservationQueue {
+	private queue: QueuedReservation[] = []
 
 	get count(): number {
-		return this.waiters.length
+		return this.queue.length
 	}
 
-	/** Waits for {@link answer}, at most for a time. */
-	wait(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
+	/** Waits for {@link resolveFirst}, at most for a time. */
+	enqueue(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
 		return new Promise((resolve) => {
 			const timer = setTimeout(() => {
-				this.waiters = this.waiters.filter((entry) => entry !== waiter)
+				this.queue = this.queue.filter((entry) => entry !== waiter)
 				resolve('unknown')
 			}, ms)
-			const waiter: Waiter = { account, tokens, resolve, timer }
-			this.waiters.push(waiter)
+			const waiter: QueuedReservation = { account, tokens, resolve, timer }
+			this.queue.push(waiter)
 		})
 	}
 
 	/** Tokens that are waited for, by account. */
 	tokens(): Record<AccountName, number> {
 		const waiting: Record<AccountName, number> = {}
-		for (const { account, tokens } of this.waiters)
+		for (const { account, tokens } of this.queue)
 			waiting[account] = (waiting[account] ?? 0) + tokens
 		return waiting
 	}
 
 	/** The least that a request waits for of an account; 0 where none waits. */
-	smallest(account: AccountName): number {
-		const waiting = this.waiters.filter((waiter) => waiter.account === account)
+	smallestRequest(account: AccountName): number {
+		const waiting = this.queue.filter((waiter) => waiter.account === account)
 		return waiting.length === 0 ? 0 : Math.min(...waiting.map((waiter) => waiter.tokens))
 	}
 
 	/** Gives the first `count` waiters their result; those that came later wait for the next draw. */
-	answer(count: number, resultFor: (account: AccountName, tokens: number) => ReserveResult): void {
-		const served = this.waiters.slice(0, count)
-		this.waiters = this.waiters.slice(count)
+	resolveFirst(
+		count: number,
+		resultFor: (account: AccountName, tokens: number) => ReserveResult,
+	): void {
+		const served = this.queue.slice(0, count)
+		this.queue = this.queue.slice(count)
 		for (const waiter of served) {
 			clearTimeout(waiter.timer)
 			waiter.resolve(resultFor(waiter.account, waiter.tokens))
--- a/packages/gateway/src/lib/AnswerWriter.ts
+++ b/packages/gateway/src/lib/ResponseWriter.ts
@@ -1,66 +1,66 @@
 import type { ServerResponse } from 'node:http'
 import type { StreamEvent } from '@stallwing/core'
-import { answerHeadersToPassOn } from './CallerRequest.js'
+import { responseHeadersToForward } from './CallerRequest.js'
 import type { Refusal } from './Refusal.js'
-import type { AnswerHead } from './sendToTarget.js'
+import type { ResponseHead } from './sendToTarget.js'
 
 const SECOND_MS = 1_000
 
 /** Writes one answer to a caller. */
-export class AnswerWriter {
+export class ResponseWriter {
 	/** The head of a stream has left: what follows must go on with it, or break off. */
-	begun = false
+	isStreamStarted = false
 	/** Number of the last event that was passed on. */
-	lastEvent: number | undefined
+	lastEventId: number | undefined
 	/** The end of the stream will be told apart from a broken connection. */
-	framed = true
+	isSelfDelimiting = true
 	/** Events passed on. */
-	events = 0
+	eventCount = 0
 	/** When the answer, or the first event of a stream, was passed on; undefined until then. */
-	firstAt: number | undefined
+	firstWriteAt: number | undefined
 	/** Longest time between two events, in ms. */
-	longestPauseMs = 0
+	maxEventGapMs = 0
 	private lastEventAt = 0
 
 	constructor(
 		private readonly response: ServerResponse,
-		private readonly stopping: () => boolean,
+		private readonly isStopping: () => boolean,
 		/** Steady clock, in ms. */
 		private readonly now: () => number,
 	) {}
 
 	/** Passes on a whole answer of a target. */
-	whole(head: AnswerHead, body: Buffer): void {
-		this.firstAt = this.now()
-		const headers = answerHeadersToPassOn(head.rawHeaders)
-		if (!isFramed(head)) this.leaveUnframed(headers)
+	sendComplete(head: ResponseHead, body: Buffer): void {
+		this.firstWriteAt = this.now()
+		const headers = responseHeadersToForward(head.rawHeaders)
+		if (!isSelfDelimiting(head)) this.delimitByClose(headers)
 		else if (mayHaveBody(head.status)) headers.push('Content-Length', String(body.length))
 		this.writeHead(head.status, headers)
 		this.response.end(body)
 	}
 
 	/** Passes on the head of a stream. */
-	beginStream(head: AnswerHead): void {
-		this.begun = true
-		this.framed = isFramed(head)
-		const headers = answerHeadersToPassOn(head.rawHeaders)
-		if (!this.framed) this.leaveUnframed(headers)
+	startStream(head: ResponseHead): void {
+		this.isStreamStarted = true
+		this.isSelfDelimiting = isSelfDelimiting(head)
+		const headers = responseHeadersToForward(head.rawHeaders)
+		if (!this.isSelfDelimiting) this.delimitByClose(headers)
 		this.writeHead(head.status, headers)
 		this.response.flushHeaders()
 	}
 
 	/** Passes on one event. False: the caller reads slowly; wait for {@link onDrain}. */
-	event(event: StreamEvent): boolean {
-		this.events++
-		this.noteEventTime()
-		if (event.id !== undefined) this.lastEvent = event.id
+	sendEvent(event: StreamEvent): boolean {
+		this.eventCount++
+		this.recordEventTime()
+		if (event.id !== undefined) this.lastEventId = event.id
 		return this.response.write(event.bytes)
 	}
 
-	private noteEventTime(): void {
+	private recordEventTime(): void {
 		const now = this.now()
-		if (this.firstAt === undefined) this.firstAt = now
-		else this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastEventAt)
+		if (this.firstWriteAt === undefined) this.firstWriteAt = now
+		else this.maxEventGapMs = Math.max(this.maxEventGapMs, now - this.lastEventAt)
 		this.lastEventAt = now
 	}
 
@@ -74,7 +74,7 @@
 	}
 
 	/** Answers by ourselves. The body names the reason; the status carries the promise. */
-	refuse(status: number, refusal: Refusal, requestRead: boolean): void {
+	sendRefusal(status: number, refusal: Refusal, requestRead: boolean): void {
 		if (this.response.headersSent) {
 			this.destroy()
 			return
@@ -99,20 +99,20 @@
 	 * An answer without a length ends with its connection: nobody can tell whether it is whole. It must
 	 * not get a frame here that says it is.
 	 */
-	private leaveUnframed(headers: string[]): void {
+	private delimitByClose(headers: string[]): void {
 		this.response.useChunkedEncodingByDefault = false
 		headers.push('Connection', 'close')
 	}
 
 	private writeHead(status: number, headers: string[]): void {
 		this.response.sendDate = false
-		if (this.stopping() && !headers.includes('Connection')) headers.push('Connection', 'close')
+		if (this.isStopping() && !headers.includes('Connection')) headers.push('Connection', 'close')
 		this.response.writeHead(status, headers)
 	}
 }
 
 /** True where the target tells the end of its answer otherwise than by closing the connection. */
-export function isFramed(head: AnswerHead): boolean {
+export function isSelfDelimiting(head: ResponseHead): boolean {
 	if (!mayHaveBody(head.status)) return true
 	const { headers } = head
 	return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
--- a/packages/gateway/src/lib/ServiceLimits.test.ts
+++ b/packages/gateway/src/lib/ServiceLimits.test.ts
@@ -24,11 +24,11 @@
 			pools: { inUse: () => inUse },
 			serviceOf: () => SERVICE,
 			maxConnections: () => most,
-			fewestConnections: () => most,
-			boxes: () => boxes.length,
+			lowestMaxConnections: () => most,
+			boxCount: () => boxes.length,
 			boxNames: () => boxes,
 		})
-		while (inUse < MANY && !limits.isFull(target)) inUse++
+		while (inUse < MANY && !limits.isAtConnectionLimit(target)) inUse++
 		sum += inUse
 	}
 	return sum
--- a/packages/gateway/src/lib/ServiceLimits.ts
+++ b/packages/gateway/src/lib/ServiceLimits.ts
@@ -1,5 +1,5 @@
 import {
-	RepeatBudget,
+	RetryBudget,
 	rendezvousRank,
 	type BoxName,
 	type ServiceName,
@@ -16,34 +16,40 @@
 	/** Connections that a target of a service takes from all boxes; Infinity where none are stated. */
 	readonly maxConnections: (service: ServiceName) => number
 	/** Connections that a target of the service with the fewest takes; Infinity where none are stated. */
-	readonly fewestConnections: () => number
+	readonly lowestMaxConnections: () => number
 	/** Boxes that share what is limited for the fleet; never 0. */
-	readonly boxes: () => number
+	readonly boxCount: () => number
 	/** The boxes of the fleet: the same array for as long as they stay the same. */
 	readonly boxNames: () => readonly BoxName[]
 }
 
 /** Whether this box is one of those that may connect to a target. */
-interface Admittance {
-	readonly isAdmitted: boolean
+interface ConnectionPermission {
+	readonly mayConnect: boolean
 	/** The boxes, and how many of them may, by which that was found. */
 	readonly boxNames: readonly BoxName[]
-	readonly most: number
+	readonly maxConnections: number
 }
 
 /** Targets for which it is kept whether this box may connect; with more it is found out anew. */
-const MOST_KNOWN = 10_000
+const MAX_CACHED_PERMISSIONS = 10_000
 
 /** This box's share of what a service bears from the whole fleet. */
 export class ServiceLimits {
-	private readonly repeatBudgets = new Map<ServiceName, RepeatBudget>()
-	private readonly admittances = new Map<TargetName, Admittance>()
+	private readonly retryBudgets = new Map<ServiceName, RetryBudget>()
+	private readonly permissions = new Map<TargetName, ConnectionPermission>()
 
 	constructor(private readonly options: ServiceLimitsOptions) {}
 
 	/** True where the target takes no further connection from this box. */
-	isFull(target: TargetName): boolean {
-		const { boxes, fewestConnections, maxConnections, pools, serviceOf } = this.options
+	isAtConnectionLimit(target: TargetName): boolean {
+		const {
+			boxCount: boxes,
+			lowestMaxConnections: fewestConnections,
+			maxConnections,
+			pools,
+			serviceOf,
+		} = this.options
 		const inUse = pools.inUse(target)
 		// Asked for each target at each choice: most have no request of this box.
 		if (inUse === 0 && boxes() <= fewestConnections()) return false
@@ -51,7 +57,7 @@
 		if (!service) return false
 		const most = maxConnections(service)
 		const share = Math.floor(most / boxes())
-		if (share < 1) return inUse > 0 || !this.isAdmitted(target, most)
+		if (share < 1) return inUse > 0 || !this.mayConnect(target, most)
 		return inUse >= share
 	}
 
@@ -59,22 +65,22 @@
 	 * Where a target takes fewer connections than there are boxes, the same ones for all have one each, by rendezvous.
 	 * One for each box would be 499 where 100 are taken: the target resets the rest, and what was sent there may have run.
 	 */
-	private isAdmitted(target: TargetName, most: number): boolean {
+	private mayConnect(target: TargetName, most: number): boolean {
 		const boxNames = this.options.boxNames()
-		const known = this.admittances.get(target)
-		if (known?.boxNames === boxNames && known.most === most) return known.isAdmitted
+		const known = this.permissions.get(target)
+		if (known?.boxNames === boxNames && known.maxConnections === most) return known.mayConnect
 		const isAdmitted = rendezvousRank(target, this.options.self, boxNames, most) !== undefined
-		if (this.admittances.size >= MOST_KNOWN) this.admittances.clear()
-		this.admittances.set(target, { isAdmitted, boxNames, most })
+		if (this.permissions.size >= MAX_CACHED_PERMISSIONS) this.permissions.clear()
+		this.permissions.set(target, { mayConnect: isAdmitted, boxNames, maxConnections: most })
 		return isAdmitted
 	}
 
 	/** This box's budget for sending requests of a service once more. */
-	repeats(service: ServiceName): RepeatBudget {
-		const known = this.repeatBudgets.get(service)
+	retryBudget(service: ServiceName): RetryBudget {
+		const known = this.retryBudgets.get(service)
 		if (known) return known
-		const budget = new RepeatBudget()
-		this.repeatBudgets.set(service, budget)
+		const budget = new RetryBudget()
+		this.retryBudgets.set(service, budget)
 		return budget
 	}
 }
--- a/packages/gateway/src/lib/SpendingPromise.ts
+++ b/packages/gateway/src/lib/SpendingLimitRecord.ts
@@ -1,18 +1,18 @@
 import {
-	MARK_LEASE_MS,
-	PROMISE_MS,
-	START_PROOF_MS,
+	SPENDING_LIMIT_LEASE_MS,
+	SPENDING_LIMIT_VALIDITY_MS,
+	MIN_CLAIM_UPTIME_MS,
 	type AccountName,
 	type Incarnation,
-	type SpendingMark,
+	type SpendingLimits,
 	type StoreRevision,
 } from '@stallwing/core'
 import type { KeyValueStore, StoreFault, StoreItem, StoreLease } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import { readSpendingMark } from './moneyDocuments.js'
+import { readSpendingMark } from './allowanceDocuments.js'
 
-/** What a {@link SpendingPromise} works with. */
-export interface SpendingPromiseOptions {
+/** What a {@link SpendingLimitRecord} works with. */
+export interface SpendingLimitRecordOptions {
 	readonly store: KeyValueStore
 	/** Key of the record of this box. */
 	readonly key: string
@@ -22,7 +22,7 @@
 	/** Time of day, in ms. */
 	readonly wallTime: () => number
 	/** Time since this process started, in ms. */
-	readonly aliveMs: () => number
+	readonly uptimeMs: () => number
 	readonly sleep: (ms: number) => Promise<void>
 }
 
@@ -30,37 +30,37 @@
  * Age from which a lease is replaced, in ms: less than half of the promise, so that one that ends soon
  * after a loss of power is rare; each replacement is two calls.
  */
-const LEASE_AGE_MS = 1_200
-const TRIES = 3
+const LEASE_RENEWAL_AGE_MS = 1_200
+const MAX_WRITE_ATTEMPTS = 3
 
-/** Keeps the record of this box's spending ceilings in the store. See {@link SpendingMark}. */
-export class SpendingPromise {
+/** Keeps the record of this box's spending ceilings in the store. See {@link SpendingLimits}. */
+export class SpendingLimitRecord {
 	/** Undefined where the record is absent. */
 	private revision: StoreRevision | undefined
 	private lease: StoreLease | undefined
-	private leaseAt = Number.NEGATIVE_INFINITY
+	private leaseGrantedAt = Number.NEGATIVE_INFINITY
 	/** Time of day when the lease was asked for. */
-	private leaseWallTime = 0
+	private leaseRequestedWallTime = 0
 
-	constructor(private readonly options: SpendingPromiseOptions) {}
+	constructor(private readonly options: SpendingLimitRecordOptions) {}
 
 	/** True where the record must be written again soon, even with the same ceilings. */
-	get isOld(): boolean {
-		return this.options.now() - this.leaseAt >= LEASE_AGE_MS
+	get needsRenewal(): boolean {
+		return this.options.now() - this.leaseGrantedAt >= LEASE_RENEWAL_AGE_MS
 	}
 
 	/** True once no new process of this box can rely on the ceilings any more. */
-	get isOver(): boolean {
-		return this.options.now() >= this.leaseAt + PROMISE_MS
+	get isExpired(): boolean {
+		return this.options.now() >= this.leaseGrantedAt + SPENDING_LIMIT_VALIDITY_MS
 	}
 
 	/**
 	 * Reads what the earlier incarnation promised, once this one has run for long enough. A record that can't be read
 	 * promises nothing: all that was drawn then counts as spent.
 	 */
-	async readPrevious(): Promise<E.Either<StoreFault, SpendingMark | undefined>> {
-		const { aliveMs, sleep } = this.options
-		if (aliveMs() < START_PROOF_MS) await sleep(START_PROOF_MS - aliveMs())
+	async readPrevious(): Promise<E.Either<StoreFault, SpendingLimits | undefined>> {
+		const { uptimeMs: aliveMs, sleep } = this.options
+		if (aliveMs() < MIN_CLAIM_UPTIME_MS) await sleep(MIN_CLAIM_UPTIME_MS - aliveMs())
 		const read = await this.options.store.read(this.options.key)
 		if (E.isLeft(read)) return read
 		this.adopt(read.right)
@@ -68,20 +68,20 @@
 	}
 
 	/** The store came back from a copy: the record and its lease may be lost. No new process relies on it any more. */
-	noteEra(): void {
+	onEraChange(): void {
 		this.lease = undefined
-		this.leaseAt = Number.NEGATIVE_INFINITY
+		this.leaseGrantedAt = Number.NEGATIVE_INFINITY
 	}
 
 	/** Writes the ceilings. They count once this succeeded. */
 	async write(
 		marks: Readonly<Record<AccountName, number>>,
 	): Promise<E.Either<StoreFault, undefined>> {
-		for (let tries = 0; tries < TRIES; tries++) {
-			const lease = await this.freshLease()
+		for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries++) {
+			const lease = await this.currentLease()
 			if (E.isLeft(lease)) return lease
 			const { store, key, holder } = this.options
-			const value = encode({ holder, wallTime: this.leaseWallTime, marks, era: store.era })
+			const value = encode({ holder, wallTime: this.leaseRequestedWallTime, marks, era: store.era })
 			const result = await store.write(key, value, this.revision, lease.right)
 			if (E.isLeft(result)) {
 				this.lease = undefined
@@ -96,14 +96,14 @@
 		return E.left({ kind: 'refused', status: 412 })
 	}
 
-	private async freshLease(): Promise<E.Either<StoreFault, StoreLease>> {
-		if (this.lease && !this.isOld) return E.right(this.lease)
+	private async currentLease(): Promise<E.Either<StoreFault, StoreLease>> {
+		if (this.lease && !this.needsRenewal) return E.right(this.lease)
 		const asked = this.options.wallTime()
-		const made = await this.options.store.lease(MARK_LEASE_MS)
+		const made = await this.options.store.lease(SPENDING_LIMIT_LEASE_MS)
 		if (E.isLeft(made)) return made
-		this.leaseWallTime = asked
+		this.leaseRequestedWallTime = asked
 		this.lease = made.right
-		this.leaseAt = this.options.now()
+		this.leaseGrantedAt = this.options.now()
 		return made
 	}
 
@@ -112,6 +112,6 @@
 	}
 }
 
-function encode(mark: SpendingMark): Buffer {
+function encode(mark: SpendingLimits): Buffer {
 	return Buffer.from(JSON.stringify(mark))
 }
--- a/packages/gateway/src/lib/Documents.ts
+++ b/packages/gateway/src/lib/StoreLayout.ts
@@ -3,7 +3,7 @@
 import type * as E from 'fp-ts/lib/Either.js'
 
 /** Where the documents lie in the store, and how they are read. */
-export interface Documents {
+export interface StoreLayout {
 	readonly configPrefix: string
 	readonly configKey: string
 	/** Below it lies one item for each zone that takes no new work. Below `configPrefix` itself. */
--- a/packages/gateway/src/lib/StoreReturn.test.ts
+++ b/packages/gateway/src/lib/StoreRecovery.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { StoreReturn } from './StoreReturn.js'
+import { StoreRecovery } from './StoreRecovery.js'
 import { sleep } from './sleep.js'
 
 const LOST_CALL_MS = 400
@@ -7,13 +7,13 @@
 describe('StoreReturn', () => {
 	let isAway: boolean
 	let pings: number
-	let storeReturn: StoreReturn
+	let storeReturn: StoreRecovery
 
 	beforeEach(() => {
 		vi.useFakeTimers()
 		isAway = true
 		pings = 0
-		storeReturn = new StoreReturn({
+		storeReturn = new StoreRecovery({
 			ping: async () => {
 				pings++
 				const wasAway = isAway
@@ -31,8 +31,8 @@
 
 	it('tells all that wait within 0.7 s of the return, by one read at a time', async () => {
 		let told = 0
-		void storeReturn.wait().then(() => told++)
-		void storeReturn.wait().then(() => told++)
+		void storeReturn.waitForRecovery().then(() => told++)
+		void storeReturn.waitForRecovery().then(() => told++)
 		await vi.advanceTimersByTimeAsync(5_900)
 		expect(pings).toBe(10)
 		isAway = false
@@ -45,7 +45,7 @@
 		void storeReturn.pause(5_000).then(() => (woken = true))
 		await vi.advanceTimersByTimeAsync(1_000)
 		isAway = false
-		void storeReturn.wait()
+		void storeReturn.waitForRecovery()
 		await vi.advanceTimersByTimeAsync(100)
 		expect(woken).toBe(true)
 		let isRested = false
@@ -58,15 +58,15 @@
 
 	it('looks anew once a call is lost again', async () => {
 		isAway = false
-		const first = storeReturn.wait()
+		const first = storeReturn.waitForRecovery()
 		await vi.advanceTimersByTimeAsync(100)
 		await first
-		await storeReturn.wait()
+		await storeReturn.waitForRecovery()
 		expect(pings).toBe(1)
 		isAway = true
-		storeReturn.noteLost()
+		storeReturn.noteUnreachable()
 		let told = false
-		void storeReturn.wait().then(() => (told = true))
+		void storeReturn.waitForRecovery().then(() => (told = true))
 		await vi.advanceTimersByTimeAsync(2_000)
 		expect(told).toBe(false)
 	})
--- a/packages/gateway/src/lib/WorldClock.test.ts
+++ b/packages/gateway/src/lib/SuspendAwareClock.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { WorldClock } from './WorldClock.js'
+import { SuspendAwareClock } from './SuspendAwareClock.js'
 
 /** Days that are played; by hand, more. */
 const RUNS = Number(process.env['CLOCK_RUNS'] ?? 300)
@@ -14,14 +14,14 @@
 	steady = 100
 	private timeOfDay = 1_700_000_000_000
 	private boot = 5_000
-	readonly clock: WorldClock
+	readonly clock: SuspendAwareClock
 
 	/** `isBootOurs`: the boot clock is that of this machine. */
 	constructor(private readonly isBootOurs: boolean) {
-		this.clock = new WorldClock({
-			steady: () => this.steady,
-			timeOfDay: () => this.timeOfDay,
-			boot: () => Math.floor(this.boot / 10) * 10,
+		this.clock = new SuspendAwareClock({
+			monotonic: () => this.steady,
+			wallClock: () => this.timeOfDay,
+			uptime: () => Math.floor(this.boot / 10) * 10,
 		})
 	}
 
@@ -31,7 +31,7 @@
 			this.timeOfDay += 20
 			this.boot += this.isBootOurs ? 20 : 7
 			this.truth += 20
-			this.clock.worldNow()
+			this.clock.suspendAwareNow()
 		}
 	}
 
@@ -58,14 +58,14 @@
 )
 
 function play(machine: Machine, day: readonly Step[], check: () => boolean): boolean {
-	let before = machine.clock.worldNow()
+	let before = machine.clock.suspendAwareNow()
 	for (const [kind, ms] of day) {
 		if (kind === 'run') machine.run(ms)
 		else if (kind === 'suspend') machine.suspend(ms)
 		else machine.setTimeOfDay(ms)
 		machine.steady += 5
 		machine.truth += 5
-		const now = machine.clock.worldNow()
+		const now = machine.clock.suspendAwareNow()
 		if (now < before || !check()) return false
 		before = now
 	}
@@ -77,47 +77,47 @@
 		for (const isBootOurs of [true, false]) {
 			const machine = new Machine(isBootOurs)
 			machine.run(8_000)
-			const [world, work] = [machine.clock.worldNow(), machine.clock.workNow()]
+			const [world, work] = [machine.clock.suspendAwareNow(), machine.clock.monotonicNow()]
 			machine.suspend(8_000)
 			machine.run(20)
-			expect(machine.clock.worldNow() - world).toBeGreaterThanOrEqual(8_000)
-			expect(machine.clock.worldNow() - world).toBeLessThan(8_100)
-			expect(machine.clock.workNow() - work).toBe(20)
+			expect(machine.clock.suspendAwareNow() - world).toBeGreaterThanOrEqual(8_000)
+			expect(machine.clock.suspendAwareNow() - world).toBeLessThan(8_100)
+			expect(machine.clock.monotonicNow() - work).toBe(20)
 		}
 	})
 
 	it('is not moved by a time of day that was set, where the boot clock tells', () => {
 		const machine = new Machine(true)
 		machine.run(8_000)
-		const world = machine.clock.worldNow()
+		const world = machine.clock.suspendAwareNow()
 		for (const by of [2_000, -7_000, 30_000]) {
 			machine.setTimeOfDay(by)
 			machine.run(100)
 		}
-		expect(machine.clock.worldNow() - world).toBe(300)
+		expect(machine.clock.suspendAwareNow() - world).toBe(300)
 	})
 
 	it('takes a time of day that was set forward for a suspension where nothing tells them apart', () => {
 		const machine = new Machine(false)
 		machine.run(8_000)
-		const world = machine.clock.worldNow()
+		const world = machine.clock.suspendAwareNow()
 		machine.setTimeOfDay(2_000)
 		machine.run(100)
-		expect(machine.clock.worldNow() - world).toBe(2_100)
+		expect(machine.clock.suspendAwareNow() - world).toBe(2_100)
 		machine.setTimeOfDay(-2_000)
 		machine.run(100)
-		expect(machine.clock.worldNow() - world).toBe(2_200)
+		expect(machine.clock.suspendAwareNow() - world).toBe(2_200)
 	})
 
 	it('never goes back, and never lags behind the truth where the boot clock tells', () => {
 		const property = fc.property(steps, (day) => {
 			const machine = new Machine(true)
 			machine.run(8_000)
-			const offset = machine.clock.worldNow() - machine.truth
+			const offset = machine.clock.suspendAwareNow() - machine.truth
 			let jumps = 0
 			return play(machine, day, () => {
 				jumps++
-				const lag = machine.truth + offset - machine.clock.worldNow()
+				const lag = machine.truth + offset - machine.clock.suspendAwareNow()
 				return lag <= SLACK_MS * jumps
 			})
 		})
@@ -129,11 +129,11 @@
 			const forward = day.map(([kind, ms]): Step => [kind, kind === 'set' ? Math.abs(ms) : ms])
 			const machine = new Machine(false)
 			machine.run(8_000)
-			const offset = machine.clock.worldNow() - machine.truth
+			const offset = machine.clock.suspendAwareNow() - machine.truth
 			let jumps = 0
 			return play(machine, forward, () => {
 				jumps++
-				return machine.truth + offset - machine.clock.worldNow() <= SLACK_MS * jumps
+				return machine.truth + offset - machine.clock.suspendAwareNow() <= SLACK_MS * jumps
 			})
 		})
 		fc.assert(property, { numRuns: RUNS, seed: 10 })
