--- a/packages/gateway/src/lib/TargetDirectory.test.ts
+++ b/packages/gateway/src/lib/TargetDirectory.test.ts
@@ -4,11 +4,11 @@
 	SEEDS,
 	STEP_MS,
 	TEST_TIMEOUT_MS,
-	lateCuts,
+	findLateRecoveries,
 	startFleet,
-	behindUntil,
-} from './fleetCuts.js'
-import { CONTACT_MS } from './testFleet.js'
+	staleUntilMs,
+} from './testPartitions.js'
+import { MAX_RECOVERY_MS } from './testFleet.js'
 
 /** Time after the return of the store at which a target that lives has written its entry anew, in ms. */
 const BACK_MS = 1_200
@@ -23,14 +23,14 @@
 	})
 
 	it('uses no target that said it leaves while its box was cut off, once that is back in touch', async () => {
-		const late = await lateCuts({
+		const late = await findLateRecoveries({
 			change: (fleet) => fleet.store.put('targets/c', 'leaving'),
 		})
 		expect(late).toEqual([])
 	})
 
 	it('uses no target whose entry went while its box was cut off, once that is back in touch', async () => {
-		const late = await lateCuts({ change: (fleet) => fleet.store.remove('targets/c') })
+		const late = await findLateRecoveries({ change: (fleet) => fleet.store.remove('targets/c') })
 		expect(late).toEqual([])
 	})
 
@@ -39,7 +39,7 @@
 			for (const seed of SEEDS) {
 				const fleet = await startFleet(zones, seed)
 				const boxes = fleet.members.map((member) => member.box)
-				fleet.cut(boxes, () => false)
+				fleet.partition(boxes, () => false)
 				await vi.advanceTimersByTimeAsync(5_000)
 				fleet.store.remove('targets/c')
 				await vi.advanceTimersByTimeAsync(3_000 + 100 * seed)
@@ -56,15 +56,15 @@
 	})
 
 	it('hears in time of a target that leaves while a short cut silences its watch', async () => {
-		for (const { zones, cutBoxes } of FLEETS) {
+		for (const { zones, isolatedBoxes: cutBoxes } of FLEETS) {
 			for (const seed of SEEDS) {
 				const fleet = await startFleet(zones, seed)
-				fleet.cut(cutBoxes, (a, b) => cutBoxes.includes(a) || cutBoxes.includes(b))
+				fleet.partition(cutBoxes, (a, b) => cutBoxes.includes(a) || cutBoxes.includes(b))
 				await vi.advanceTimersByTimeAsync(100)
 				fleet.store.put('targets/c', 'leaving')
 				await vi.advanceTimersByTimeAsync(200)
 				fleet.heal()
-				expect(await behindUntil(fleet, cutBoxes), `seed ${seed}`).toBeLessThan(CONTACT_MS)
+				expect(await staleUntilMs(fleet, cutBoxes), `seed ${seed}`).toBeLessThan(MAX_RECOVERY_MS)
 				fleet.stop()
 			}
 		}
--- a/packages/gateway/src/lib/TargetDirectory.ts
+++ b/packages/gateway/src/lib/TargetDirectory.ts
@@ -1,25 +1,25 @@
 import {
-	LapsedTargets,
+	ExpiredTargets,
 	NO_REVISION,
-	RestoredTargets,
+	RestoredTargetFilter,
 	describeRevision,
 	isSameRevision,
 	type LogEvent,
 	type LogEventName,
 	type StoreRevision,
-	type TargetBoard,
+	type TargetRegistry,
 	type TargetEntry,
 	type TargetName,
 } from '@stallwing/core'
 import type { StoreContact, StoreItem } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import type { Documents } from './Documents.js'
+import type { StoreLayout } from './StoreLayout.js'
 import { roundAge } from './roundAge.js'
 
 /** What a {@link TargetDirectory} works with. */
 export interface TargetDirectoryOptions {
-	readonly board: TargetBoard
-	readonly readTarget: Documents['readTarget']
+	readonly registry: TargetRegistry
+	readonly readTarget: StoreLayout['readTarget']
 	/** A target gets no new work: its idle connections can go. */
 	readonly onDropped: (target: TargetEntry) => void
 	/** Lives of targets are over: they started again under their names, or are no longer listed. */
@@ -27,11 +27,11 @@
 	/** Time since the store last vouched for the list, in ms; Infinity: never. */
 	readonly listAgeMs: () => number
 	/** Time for which the store has answered without a break, as far as this box knows, in ms. */
-	readonly answeredMs: () => number
+	readonly storeAvailableMs: () => number
 	/** Steady clock of the board, in ms. */
 	readonly now: () => number
 	/** Clock that counts suspended time, in ms: entries run out by it. */
-	readonly worldNow: () => number
+	readonly suspendAwareNow: () => number
 	/** Time of day, in ms. */
 	readonly wallTime: () => number
 	readonly log: (event: LogEvent) => void
@@ -47,16 +47,16 @@
 }
 
 /** Characters of a key or a cause that a log line holds. */
-const MOST_LOGGED_CHARS = 200
+const MAX_LOGGED_CHARS = 200
 
 /** Takes the list of targets from the store to the board. */
 export class TargetDirectory {
 	/** True once the targets have been listed. */
-	listed = false
-	private readonly lapsed = new LapsedTargets()
-	private readonly restored = new RestoredTargets()
+	isListed = false
+	private readonly expired = new ExpiredTargets()
+	private readonly restored = new RestoredTargetFilter()
 	/** Revision of the list. */
-	private at = NO_REVISION
+	private revision = NO_REVISION
 	/** Entries as they were last read, by key. */
 	private entries = new Map<string, TargetEntry>()
 	/** Entries that can't be read, by key. */
@@ -66,7 +66,7 @@
 
 	/** Targets that are used although the store no longer lists them. */
 	get lapsedCount(): number {
-		return this.lapsed.lapsed.length
+		return this.expired.lapsed.length
 	}
 
 	/** Entries that can't be read: they name no target. */
@@ -75,12 +75,12 @@
 	}
 
 	/** True where a target is used although the store no longer lists it. */
-	isLapsed(target: TargetName): boolean {
-		return this.lapsed.isLapsed(target)
+	isExpired(target: TargetName): boolean {
+		return this.expired.isExpired(target)
 	}
 
 	/** Takes all items of the list, as they are known up to a revision. */
-	takeItems(items: ReadonlyMap<string, StoreItem>, at: StoreRevision): void {
+	applyItems(items: ReadonlyMap<string, StoreItem>, at: StoreRevision): void {
 		const entries = new Map<string, TargetEntry>()
 		const unreadable = new Map<string, UnreadableEntry>()
 		for (const item of items.values()) {
@@ -97,51 +97,54 @@
 			const read = this.options.readTarget(item)
 			if (E.isRight(read)) entries.set(item.key, read.right)
 			else
-				unreadable.set(item.key, unreadableOf(item, read.left.what, known?.name ?? refused?.target))
+				unreadable.set(
+					item.key,
+					makeUnreadableEntry(item, read.left.what, known?.name ?? refused?.target),
+				)
 		}
 		this.logUnreadable(unreadable)
 		this.entries = entries
 		this.unreadable = unreadable
-		if (at.era !== this.at.era) this.lapsed.noteRestored(this.options.worldNow())
-		this.at = at
-		this.useListed()
-		this.listed = true
+		if (at.era !== this.revision.era) this.expired.noteRestored(this.options.suspendAwareNow())
+		this.revision = at
+		this.applyListedEntries()
+		this.isListed = true
 	}
 
 	/** The store answers again, or does not. */
 	noteContact(contact: StoreContact): void {
-		const { answeredMs, worldNow } = this.options
-		this.lapsed.noteContact(contact.kind === 'reached', worldNow(), answeredMs())
+		const { storeAvailableMs: answeredMs, suspendAwareNow: worldNow } = this.options
+		this.expired.noteContact(contact.kind === 'reached', worldNow(), answeredMs())
 	}
 
 	/** Lets go of targets that are still missing. To be called some times a second. */
 	maintain(): void {
-		const now = this.options.worldNow()
-		if (this.restored.isDue(now)) this.useListed()
-		else if (this.lapsed.lapsed.length > 0) this.use(this.lapsed.retake(now))
+		const now = this.options.suspendAwareNow()
+		if (this.restored.isDue(now)) this.applyListedEntries()
+		else if (this.expired.lapsed.length > 0) this.updateBoard(this.expired.refresh(now))
 	}
 
 	/** Uses the targets of the list, and those whose entries ran out a moment ago. */
-	private useListed(): void {
-		const now = this.options.worldNow()
-		const entries = this.restored.take([...this.entries.values()], this.at, now)
+	private applyListedEntries(): void {
+		const now = this.options.suspendAwareNow()
+		const entries = this.restored.apply([...this.entries.values()], this.revision, now)
 		const unusable = [...this.unreadable.values()].flatMap(({ target }) => target ?? [])
-		const lapsedBefore = new Set(this.lapsed.lapsed.map((entry) => entry.name))
-		this.use(this.lapsed.take(entries, now, unusable))
-		const lapsed = this.lapsed.lapsed.filter((entry) => !lapsedBefore.has(entry.name))
+		const lapsedBefore = new Set(this.expired.lapsed.map((entry) => entry.name))
+		this.updateBoard(this.expired.update(entries, now, unusable))
+		const lapsed = this.expired.lapsed.filter((entry) => !lapsedBefore.has(entry.name))
 		this.logAll('target-lapsed', lapsed)
 	}
 
-	private use(entries: readonly TargetEntry[]): void {
-		const { board, now, wallTime } = this.options
+	private updateBoard(entries: readonly TargetEntry[]): void {
+		const { registry: board, now, wallTime } = this.options
 		const changes = board.replace(entries, now(), wallTime())
-		this.logAll('target-joined', changes.joined)
+		this.logAll('target-joined', changes.added)
 		this.logAll('target-leaving', changes.leaving)
-		this.logAll('target-gone', changes.gone)
+		this.logAll('target-gone', changes.removed)
 		this.logAll('target-restarted', changes.restarted)
-		const dropped = [...changes.gone, ...changes.leaving, ...changes.restarted]
+		const dropped = [...changes.removed, ...changes.leaving, ...changes.restarted]
 		for (const entry of dropped) this.options.onDropped(entry)
-		this.options.onEnded(changes.restarted, changes.gone)
+		this.options.onEnded(changes.restarted, changes.removed)
 	}
 
 	/** One line for all entries that newly can't be read: another writer may leave thousands. */
@@ -153,8 +156,8 @@
 		const [first] = news
 		if (!first) return
 		const fields = {
-			key: first.key.slice(0, MOST_LOGGED_CHARS),
-			what: first.what.slice(0, MOST_LOGGED_CHARS),
+			key: first.key.slice(0, MAX_LOGGED_CHARS),
+			what: first.what.slice(0, MAX_LOGGED_CHARS),
 			revision: describeRevision(first.revision),
 			others: news.length - 1,
 		}
@@ -171,7 +174,7 @@
 	}
 }
 
-function unreadableOf(
+function makeUnreadableEntry(
 	{ key, revision }: StoreItem,
 	what: string,
 	target: TargetName | undefined,
--- a/packages/gateway/src/lib/TargetDirectoryEntries.test.ts
+++ b/packages/gateway/src/lib/TargetDirectoryEntries.test.ts
@@ -1,5 +1,5 @@
 import {
-	TargetBoard,
+	TargetRegistry,
 	brandId,
 	type LogEvent,
 	type TargetEntry,
@@ -9,24 +9,24 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { beforeEach, describe, expect, it } from 'vitest'
 import { TargetDirectory } from './TargetDirectory.js'
-import { entryOf } from './testBox.js'
+import { targetEntryOf } from './testBox.js'
 
 const UNREADABLE = 'unreadable'
 
 describe('entries of the list of targets', () => {
-	let board: TargetBoard
+	let board: TargetRegistry
 	let directory: TargetDirectory
 	let logged: LogEvent[]
 	let dropped: TargetEntry[]
 	let now: number
 
 	beforeEach(() => {
-		board = new TargetBoard()
+		board = new TargetRegistry()
 		logged = []
 		dropped = []
 		now = 1_000
 		directory = new TargetDirectory({
-			board,
+			registry: board,
 			readTarget: ({ value, revision }) => {
 				const text = value.toString()
 				if (text === UNREADABLE) return E.left({ kind: 'unreadable', what: 'State' })
@@ -35,9 +35,9 @@
 			onDropped: (target) => dropped.push(target),
 			onEnded: () => undefined,
 			listAgeMs: () => 0,
-			answeredMs: () => 0,
+			storeAvailableMs: () => 0,
 			now: () => now,
-			worldNow: () => now,
+			suspendAwareNow: () => now,
 			wallTime: () => now,
 			log: (event) => logged.push(event),
 		})
@@ -48,7 +48,7 @@
 			const text = typeof entry === 'string' ? entry : JSON.stringify(entry)
 			return [key, { key, value: Buffer.from(text), revision: { era: 1, number: revision } }]
 		})
-		directory.takeItems(new Map(all), { era: 1, number: 1 })
+		directory.applyItems(new Map(all), { era: 1, number: 1 })
 	}
 
 	function isUsed(name: string): boolean {
@@ -56,17 +56,17 @@
 	}
 
 	it('that can not be read name no target, and the others hold', () => {
-		take(['a', entryOf('a', '1'), 1], ['b', entryOf('b', '2'), 2])
-		take(['a', UNREADABLE, 3], ['b', entryOf('b', '2'), 2])
+		take(['a', targetEntryOf('a', '1'), 1], ['b', targetEntryOf('b', '2'), 2])
+		take(['a', UNREADABLE, 3], ['b', targetEntryOf('b', '2'), 2])
 		expect([isUsed('a'), isUsed('b')]).toEqual([false, true])
 		expect(directory.unreadableCount).toBe(1)
-		take(['a', entryOf('a', '1'), 4], ['b', entryOf('b', '2'), 2])
+		take(['a', targetEntryOf('a', '1'), 4], ['b', targetEntryOf('b', '2'), 2])
 		expect(isUsed('a')).toBe(true)
 		expect(directory.unreadableCount).toBe(0)
 	})
 
 	it('that can not be read are not used as if they had run out while the store was away', () => {
-		take(['a', entryOf('a', '1'), 1], ['b', entryOf('b', '2'), 2])
+		take(['a', targetEntryOf('a', '1'), 1], ['b', targetEntryOf('b', '2'), 2])
 		directory.noteContact({ kind: 'reached' })
 		directory.noteContact({ kind: 'lost', fault: { kind: 'no-answer', cause: '' } })
 		now += 5_000
@@ -93,7 +93,7 @@
 	})
 
 	it('that tell of a new start let go of the connections of the earlier one', () => {
-		const first = { ...entryOf('a', '1'), bornAt: 1 }
+		const first = { ...targetEntryOf('a', '1'), bornAt: 1 }
 		take(['a', first, 1])
 		take(['a', { ...first, bornAt: 2 }, 2])
 		expect(dropped.map((target) => target.bornAt)).toEqual([1])
--- a/packages/gateway/src/lib/TargetPools.ts
+++ b/packages/gateway/src/lib/TargetPools.ts
@@ -1,7 +1,12 @@
 import type { TargetEntry, TargetName } from '@stallwing/core'
-import { ConnectionPool, type PoolTimes } from './ConnectionPool.js'
+import { ConnectionPool, type PoolTimeouts } from './ConnectionPool.js'
 
-const POOL_TIMES: PoolTimes = { connectMs: 300, settleMs: 20, idleMs: 1_500, idleMarginMs: 1_000 }
+const POOL_TIMEOUTS: PoolTimeouts = {
+	connectMs: 300,
+	settleMs: 20,
+	idleMs: 1_500,
+	idleMarginMs: 1_000,
+}
 
 /** The connections of this box, by target. An address may belong to another target later. */
 export class TargetPools {
@@ -12,10 +17,10 @@
 		private readonly onOpened: () => void,
 	) {}
 
-	of(target: TargetEntry): ConnectionPool {
+	poolFor(target: TargetEntry): ConnectionPool {
 		const known = this.pools.get(target.name)
 		if (known) return known
-		const pool = new ConnectionPool(target.address, POOL_TIMES, this.now, this.onOpened)
+		const pool = new ConnectionPool(target.address, POOL_TIMEOUTS, this.now, this.onOpened)
 		this.pools.set(target.name, pool)
 		return pool
 	}
@@ -27,24 +32,24 @@
 	}
 
 	/** True where a connection is open that nothing uses. */
-	isConnected(target: TargetName): boolean {
+	hasIdleConnection(target: TargetName): boolean {
 		return (this.pools.get(target)?.idleCount ?? 0) > 0
 	}
 
 	/** Closes idle connections to a target; requests that are under way there end undisturbed. */
-	dropIdle(target: TargetName): void {
-		this.pools.get(target)?.dropIdle()
+	closeIdle(target: TargetName): void {
+		this.pools.get(target)?.closeIdle()
 	}
 
 	/** Lets go of a target that gets no new work. */
-	drop(target: TargetName): void {
+	remove(target: TargetName): void {
 		this.pools.get(target)?.close()
 		this.pools.delete(target)
 	}
 
 	/** Closes connections that have rested too long. */
-	sweep(): void {
-		for (const pool of this.pools.values()) pool.sweep()
+	closeExpired(): void {
+		for (const pool of this.pools.values()) pool.closeExpired()
 	}
 
 	close(): void {
--- a/packages/gateway/src/lib/TimeLimit.test.ts
+++ b/packages/gateway/src/lib/TimeLimit.test.ts
@@ -13,8 +13,8 @@
 	it('goes by the earlier of the limits of the route and the caller, from the arrival on', () => {
 		const limit = new TimeLimit(() => Date.now(), 900)
 		expect(limit.elapsedMs).toBe(100)
-		expect(limit.leftMs(requestOf(500))).toBe(400)
-		expect(limit.leftMs(requestOf(500, 300))).toBe(200)
+		expect(limit.remainingMs(requestOf(500))).toBe(400)
+		expect(limit.remainingMs(requestOf(500, 300))).toBe(200)
 	})
 
 	it('calls back just before the limit, at once where it is over, and not once stopped', () => {
--- a/packages/gateway/src/lib/TokenLending.test.ts
+++ b/packages/gateway/src/lib/TokenLending.test.ts
@@ -1,22 +1,22 @@
-import { AllowanceBook, brandId, type AccountName } from '@stallwing/core'
+import { AllowanceLedger, brandId, type AccountName } from '@stallwing/core'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { NOTHING_LENT, TokenLending, type Lenders } from './TokenLending.js'
+import { EMPTY_LEND_RESPONSE, TokenLending, type TokenPeers } from './TokenLending.js'
 import { sleep } from './sleep.js'
 
-const LENDERS = ['a:1', 'b:1', 'c:1', 'd:1', 'e:1', 'f:1']
+const LENDER_ADDRESSES = ['a:1', 'b:1', 'c:1', 'd:1', 'e:1', 'f:1']
 const ACCOUNTS = Array.from({ length: 24 }, (_, i) => brandId<AccountName>(`account-${i}`))
-const SILENCE_MS = 160
+const UNREACHABLE_TIMEOUT_MS = 160
 
 /** Boxes that never answer, but for one. */
-function lendersWithOneOpen(open: string, given: Map<AccountName, number>): Lenders {
+function peersWithOneReachable(open: string, given: Map<AccountName, number>): TokenPeers {
 	return {
-		ask: () => Promise.resolve(NOTHING_LENT),
-		tellDraws: () => Promise.resolve(true),
-		isOpen: async (address) => {
-			await sleep(address === open ? 2 : SILENCE_MS)
+		requestTokens: () => Promise.resolve(EMPTY_LEND_RESPONSE),
+		sendDraws: () => Promise.resolve(true),
+		isReachable: async (address) => {
+			await sleep(address === open ? 2 : UNREACHABLE_TIMEOUT_MS)
 			return address === open
 		},
-		give: (_address, account, tokens) => {
+		transferTokens: (_address, account, tokens) => {
 			given.set(account, tokens)
 			return Promise.resolve(true)
 		},
@@ -28,18 +28,18 @@
 	afterEach(() => void vi.useRealTimers())
 
 	it('hands all accounts over in little time where most boxes are silent', async () => {
-		const book = new AllowanceBook()
+		const book = new AllowanceLedger()
 		for (const account of ACCOUNTS) book.borrow(account, 100, 1)
 		const given = new Map<AccountName, number>()
 		const lending = new TokenLending({
-			lenders: lendersWithOneOpen('f:1', given),
+			tokenPeers: peersWithOneReachable('f:1', given),
 			now: () => Date.now(),
 			sleep,
-			order: () => LENDERS,
+			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
 		const all = async (): Promise<void> => {
-			for (const account of ACCOUNTS) await lending.handOver(book, account, 1)
+			for (const account of ACCOUNTS) await lending.transferUnspent(book, account, 1)
 		}
 		void all()
 		await vi.advanceTimersByTimeAsync(1_500)
@@ -50,21 +50,21 @@
 		let asked = 0
 		const other = ACCOUNTS[1]!
 		const lending = new TokenLending({
-			lenders: {
-				...lendersWithOneOpen('a:1', new Map()),
-				ask: async () => {
+			tokenPeers: {
+				...peersWithOneReachable('a:1', new Map()),
+				requestTokens: async () => {
 					asked++
 					await sleep(5)
 					const nearlySpent = [{ account: other, left: 20 }]
-					return { ...NOTHING_LENT, left: 7, budgetsVersion: 3, nearlySpent }
+					return { ...EMPTY_LEND_RESPONSE, left: 7, budgetsVersion: 3, nearlySpent }
 				},
 			},
 			now: () => Date.now(),
 			sleep,
-			order: () => LENDERS,
+			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceBook()
+		const book = new AllowanceLedger()
 		const account = ACCOUNTS[0]!
 		const result = lending.borrow(book, account, 10)
 		await vi.advanceTimersByTimeAsync(50)
@@ -81,22 +81,22 @@
 	it('asks for tokens in advance only once while answers are late', async () => {
 		const asked: number[] = []
 		const lending = new TokenLending({
-			lenders: {
-				...lendersWithOneOpen('a:1', new Map()),
-				ask: async (address, _account, { tokens, ahead }) => {
+			tokenPeers: {
+				...peersWithOneReachable('a:1', new Map()),
+				requestTokens: async (address, _account, { tokens, ahead }) => {
 					asked.push(ahead)
 					await sleep(address === 'a:1' ? 400 : 20)
-					return { ...NOTHING_LENT, lent: tokens + ahead, budgetsVersion: 1 }
+					return { ...EMPTY_LEND_RESPONSE, lent: tokens + ahead, budgetsVersion: 1 }
 				},
 			},
 			now: () => Date.now(),
 			sleep,
-			order: () => LENDERS,
+			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceBook()
+		const book = new AllowanceLedger()
 		const account = ACCOUNTS[0]!
-		book.noteDemand(account, 1_000, Date.now())
+		book.recordDemand(account, 1_000, Date.now())
 		const result = lending.borrow(book, account, 100)
 		await vi.advanceTimersByTimeAsync(300)
 		expect(await result).toBe('reserved')
@@ -109,20 +109,20 @@
 	it('asks a box for one account while it still answers for another', async () => {
 		const asked: string[] = []
 		const lending = new TokenLending({
-			lenders: {
-				...lendersWithOneOpen('a:1', new Map()),
-				ask: async (address, account, { tokens }) => {
+			tokenPeers: {
+				...peersWithOneReachable('a:1', new Map()),
+				requestTokens: async (address, account, { tokens }) => {
 					asked.push(`${address} ${account}`)
 					await sleep(20)
-					return { ...NOTHING_LENT, lent: tokens, budgetsVersion: 1 }
+					return { ...EMPTY_LEND_RESPONSE, lent: tokens, budgetsVersion: 1 }
 				},
 			},
 			now: () => Date.now(),
 			sleep,
-			order: () => LENDERS,
+			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceBook()
+		const book = new AllowanceLedger()
 		const results = ACCOUNTS.map((account) => lending.borrow(book, account, 10))
 		await vi.advanceTimersByTimeAsync(50)
 		expect(await Promise.all(results)).toEqual(ACCOUNTS.map(() => 'reserved'))
--- a/packages/gateway/src/lib/TokenLending.ts
+++ b/packages/gateway/src/lib/TokenLending.ts
@@ -1,6 +1,11 @@
-import { SpentWords, type AccountName, type AllowanceBook, type LogEvent } from '@stallwing/core'
-import type { ToldDraws } from './DrawTelling.js'
-import { DrawWaiters, type ReserveResult } from './DrawWaiters.js'
+import {
+	RemainingTokensCache,
+	type AccountName,
+	type AllowanceLedger,
+	type LogEvent,
+} from '@stallwing/core'
+import type { ReplicatedDraws } from './DrawReplicator.js'
+import { ReservationQueue, type ReserveResult } from './ReservationQueue.js'
 
 /** Tokens that a box asks another for. */
 export interface LendRequest {
@@ -11,7 +16,7 @@
 }
 
 /** What a box answers that was asked for tokens. */
-export interface LendAnswer {
+export interface LendResponse {
 	/** Tokens that were handed over: those asked for, fewer, or some in advance as well. */
 	readonly lent: number
 	/** What may be left of the budget, wherever it lies: more than that nobody can get. */
@@ -21,17 +26,17 @@
 	/** Store revision of the configuration under which the lender held the tokens. */
 	readonly budgetsVersion: number
 	/** Accounts that are nearly spent, with what may be left of each. */
-	readonly nearlySpent: readonly AccountLeft[]
+	readonly nearlySpent: readonly RemainingBudget[]
 }
 
 /** What may be left of the budget of an account at most, wherever it lies. */
-export interface AccountLeft {
+export interface RemainingBudget {
 	readonly account: AccountName
 	readonly left: number
 }
 
 /** The answer of a box that has nothing, or does not answer. */
-export const NOTHING_LENT: LendAnswer = {
+export const EMPTY_LEND_RESPONSE: LendResponse = {
 	lent: 0,
 	left: Number.POSITIVE_INFINITY,
 	free: 0,
@@ -40,18 +45,18 @@
 }
 
 /** Calls to other boxes about tokens. */
-export interface Lenders {
+export interface TokenPeers {
 	/**
 	 * Asks one box to hand tokens over, and some in advance where it holds plenty;
-	 * {@link NOTHING_LENT} where it does not answer. An answer may come late, and brings its tokens still.
+	 * {@link EMPTY_LEND_RESPONSE} where it does not answer. An answer may come late, and brings its tokens still.
 	 */
-	ask(address: string, account: AccountName, request: LendRequest): Promise<LendAnswer>
+	requestTokens(address: string, account: AccountName, request: LendRequest): Promise<LendResponse>
 	/** Tells one box of draws; false where it did not say that it keeps them. */
-	tellDraws(address: string, told: ToldDraws): Promise<boolean>
+	sendDraws(address: string, told: ReplicatedDraws): Promise<boolean>
 	/** Whether a box answers at all. */
-	isOpen(address: string): Promise<boolean>
+	isReachable(address: string): Promise<boolean>
 	/** Gives tokens to one box. False: it may not have got them, and nobody else may get them. */
-	give(
+	transferTokens(
 		address: string,
 		account: AccountName,
 		tokens: number,
@@ -61,30 +66,30 @@
 
 /** What {@link TokenLending} works with. */
 export interface TokenLendingOptions {
-	readonly lenders: Lenders
+	readonly tokenPeers: TokenPeers
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	readonly sleep: (ms: number) => Promise<void>
 	/** Addresses of the boxes to be asked for tokens of an account, in order. */
-	readonly order: (account: AccountName) => readonly string[]
+	readonly preferredLenders: (account: AccountName) => readonly string[]
 	readonly log: (event: LogEvent) => void
 }
 
 /** Boxes that are asked for tokens for one request. */
-const MOST_LENDERS = 6
+const MAX_LENDERS_PER_REQUEST = 6
 /** Demand that a box asks for in advance, in seconds: a busy box then asks for many requests at once. */
-const AHEAD_SECONDS = 1.2
-const LONGEST_WAIT_MS = 1_500
+const PREFETCH_DEMAND_SECONDS = 1.2
+const MAX_BORROW_WAIT_MS = 1_500
 /** Time that a request waits for one box before the next is asked, in ms; the answer may still come. */
-const ASK_PATIENCE_MS = 160
+const LENDER_TIMEOUT_MS = 160
 /** Time for which a box that would not take tokens is not asked again, in ms: a stop hands over many accounts. */
-const CLOSED_MS = 3_000
+const UNREACHABLE_RETRY_MS = 3_000
 /** Age up to which it counts what a box had left of an account when it last answered, in ms. */
-const FREE_AGE_MS = 400
+const MAX_FREE_TOKENS_AGE_MS = 400
 
 /** Requests for tokens of one account that have not been asked for yet, or are asked for together. */
 interface Borrowing {
-	readonly waiters: DrawWaiters
+	readonly waiters: ReservationQueue
 	running: boolean
 }
 
@@ -95,14 +100,17 @@
 export class TokenLending {
 	private readonly borrowings = new Map<AccountName, Borrowing>()
 	/** Calls about an account that no answer has come to yet. */
-	private readonly unanswered = new Map<AccountName, number>()
+	private readonly pendingRequests = new Map<AccountName, number>()
 	/** Answers that boxes owe beyond the patience with them. */
-	private readonly late = new Map<string, Promise<LendAnswer>>()
+	private readonly lateResponses = new Map<string, Promise<LendResponse>>()
 	/** Boxes that took nothing, and until when they are not asked to. */
-	private readonly closedUntil = new Map<string, number>()
-	private readonly spentWords = new SpentWords()
+	private readonly unreachableUntil = new Map<string, number>()
+	private readonly remainingTokens = new RemainingTokensCache()
 	/** What boxes had left when they last answered. */
-	private readonly leftovers = new Map<string, { readonly free: number; readonly at: number }>()
+	private readonly lastFreeTokens = new Map<
+		string,
+		{ readonly free: number; readonly at: number }
+	>()
 
 	constructor(private readonly options: TokenLendingOptions) {}
 
@@ -110,10 +118,10 @@
 	 * Gathers what is missing from other boxes, in order, and sets it aside. Requests that come while
 	 * boxes are asked are asked for together.
 	 */
-	borrow(book: AllowanceBook, account: AccountName, tokens: number): Promise<ReserveResult> {
+	borrow(book: AllowanceLedger, account: AccountName, tokens: number): Promise<ReserveResult> {
 		const borrowing = this.borrowing(account)
-		const result = borrowing.waiters.wait(account, tokens, LONGEST_WAIT_MS)
-		void this.run(book, account, borrowing)
+		const result = borrowing.waiters.enqueue(account, tokens, MAX_BORROW_WAIT_MS)
+		void this.processQueue(book, account, borrowing)
 		return result
 	}
 
@@ -122,11 +130,11 @@
 	 * revision or a newer one: a request that needs it from them is refused at once.
 	 */
 	isKnownSpent(account: AccountName, tokens: number, budgetsVersion: number): boolean {
-		return this.spentWords.isSpent(account, tokens, budgetsVersion, this.options.now())
+		return this.remainingTokens.isSpent(account, tokens, budgetsVersion, this.options.now())
 	}
 
-	private async run(
-		book: AllowanceBook,
+	private async processQueue(
+		book: AllowanceLedger,
 		account: AccountName,
 		borrowing: Borrowing,
 	): Promise<void> {
@@ -136,10 +144,10 @@
 		try {
 			while (waiters.count > 0) {
 				const asked = waiters.count
-				const left = await this.gather(book, account, waiters.tokens()[account] ?? 0)
-				waiters.answer(asked, (_account, tokens) => {
+				const left = await this.gatherTokens(book, account, waiters.tokens()[account] ?? 0)
+				waiters.resolveFirst(asked, (_account, tokens) => {
 					if (book.reserve(account, tokens)) return 'reserved'
-					return tokens > left + held(book, account) ? 'spent' : 'unknown'
+					return tokens > left + usableTokens(book, account) ? 'spent' : 'unknown'
 				})
 			}
 		} finally {
@@ -148,18 +156,25 @@
 	}
 
 	/** Asks until this box holds as much as is needed; returns what may be left of the budget at most. */
-	private async gather(book: AllowanceBook, account: AccountName, needed: number): Promise<number> {
+	private async gatherTokens(
+		book: AllowanceLedger,
+		account: AccountName,
+		needed: number,
+	): Promise<number> {
 		let left = Number.POSITIVE_INFINITY
-		for (const address of this.bestFirst(account, needed)) {
-			const tokens = needed - held(book, account)
+		for (const address of this.rankedLenders(account, needed)) {
+			const tokens = needed - usableTokens(book, account)
 			if (tokens <= 0 || book.isClosed) return left
-			const request = { tokens: Math.ceil(tokens), ahead: this.aheadOf(book, account) }
+			const request = { tokens: Math.ceil(tokens), ahead: this.prefetchTokens(book, account) }
 			const answer = await this.borrowFrom(book, address, account, request)
 			left = Math.min(left, answer.left)
-			if (this.borrowing(account).waiters.smallest(account) > left + held(book, account))
+			if (
+				this.borrowing(account).waiters.smallestRequest(account) >
+				left + usableTokens(book, account)
+			)
 				return left
 		}
-		if (needed > book.free(account)) await this.nextLate()
+		if (needed > book.free(account)) await this.waitForLateResponse()
 		return left
 	}
 
@@ -168,110 +183,120 @@
 	 * some as well. A busy box reads answers late and asks the next lender meanwhile; what it then holds beyond its
 	 * demand is lost with it in a loss of power (4 s of the demand of the largest account where 1.2 s were meant).
 	 */
-	private aheadOf(book: AllowanceBook, account: AccountName): number {
-		if ((this.unanswered.get(account) ?? 0) > 0) return 0
-		return Math.ceil(AHEAD_SECONDS * book.view(account, this.options.now()).tokensPerSecond)
+	private prefetchTokens(book: AllowanceLedger, account: AccountName): number {
+		if ((this.pendingRequests.get(account) ?? 0) > 0) return 0
+		return Math.ceil(
+			PREFETCH_DEMAND_SECONDS * book.view(account, this.options.now()).tokensPerSecond,
+		)
 	}
 
 	/** Waits for the next answer that a box owes, for a short time. */
-	private async nextLate(): Promise<void> {
-		if (this.late.size === 0) return
-		await Promise.race([...this.late.values(), this.options.sleep(ASK_PATIENCE_MS)])
+	private async waitForLateResponse(): Promise<void> {
+		if (this.lateResponses.size === 0) return
+		await Promise.race([...this.lateResponses.values(), this.options.sleep(LENDER_TIMEOUT_MS)])
 	}
 
 	private borrowing(account: AccountName): Borrowing {
 		const known = this.borrowings.get(account)
 		if (known) return known
-		const borrowing = { waiters: new DrawWaiters(), running: false }
+		const borrowing = { waiters: new ReservationQueue(), running: false }
 		this.borrowings.set(account, borrowing)
 		return borrowing
 	}
 
 	/** Gives what is free of an account, under the configuration of a revision, to the first box that answers. */
-	async handOver(book: AllowanceBook, account: AccountName, budgetsVersion: number): Promise<void> {
-		const tokens = book.handOver(account)
+	async transferUnspent(
+		book: AllowanceLedger,
+		account: AccountName,
+		budgetsVersion: number,
+	): Promise<void> {
+		const tokens = book.lendAll(account)
 		if (tokens === 0) return
-		const to = await this.giveToFirst(account, tokens, budgetsVersion)
+		const to = await this.transferToFirst(account, tokens, budgetsVersion)
 		this.options.log({ name: 'allowance-handed-over', fields: { account, tokens, to } })
 	}
 
 	private async borrowFrom(
-		book: AllowanceBook,
+		book: AllowanceLedger,
 		address: string,
 		account: AccountName,
 		request: LendRequest,
-	): Promise<LendAnswer> {
+	): Promise<LendResponse> {
 		const begun = this.options.now()
-		this.unanswered.set(account, (this.unanswered.get(account) ?? 0) + 1)
-		const asked = this.options.lenders.ask(address, account, request).then((answer) => {
-			this.unanswered.set(account, (this.unanswered.get(account) ?? 0) - 1)
-			book.borrow(account, answer.lent, answer.budgetsVersion)
-			const now = this.options.now()
-			this.leftovers.set(leftoverKey(address, account), { free: answer.free, at: now })
-			this.noteLeft(account, answer, now)
-			const { lent, left } = answer
-			const fields = { account, lender: address, ...request, lent, left, tookMs: now - begun }
-			this.options.log({ name: 'allowance-borrowed', fields })
-			return answer
-		})
-		const patience = this.options.sleep(ASK_PATIENCE_MS).then(() => undefined)
+		this.pendingRequests.set(account, (this.pendingRequests.get(account) ?? 0) + 1)
+		const asked = this.options.tokenPeers
+			.requestTokens(address, account, request)
+			.then((answer) => {
+				this.pendingRequests.set(account, (this.pendingRequests.get(account) ?? 0) - 1)
+				book.borrow(account, answer.lent, answer.budgetsVersion)
+				const now = this.options.now()
+				this.lastFreeTokens.set(freeTokensKey(address, account), { free: answer.free, at: now })
+				this.noteRemaining(account, answer, now)
+				const { lent, left } = answer
+				const fields = { account, lender: address, ...request, lent, left, tookMs: now - begun }
+				this.options.log({ name: 'allowance-borrowed', fields })
+				return answer
+			})
+		const patience = this.options.sleep(LENDER_TIMEOUT_MS).then(() => undefined)
 		const answer = await Promise.race([asked, patience])
 		if (answer) return answer
-		this.late.set(address, asked)
-		void asked.then(() => this.late.delete(address))
-		return NOTHING_LENT
+		this.lateResponses.set(address, asked)
+		void asked.then(() => this.lateResponses.delete(address))
+		return EMPTY_LEND_RESPONSE
 	}
 
-	private noteLeft(account: AccountName, answer: LendAnswer, now: number): void {
+	private noteRemaining(account: AccountName, answer: LendResponse, now: number): void {
 		const { budgetsVersion, left, nearlySpent } = answer
-		this.spentWords.note(account, left, budgetsVersion, now)
+		this.remainingTokens.record(account, left, budgetsVersion, now)
 		for (const other of nearlySpent)
-			this.spentWords.note(other.account, other.left, budgetsVersion, now)
+			this.remainingTokens.record(other.account, other.left, budgetsVersion, now)
 	}
 
 	/** Boxes to be asked: those that lately had too little come last, those that owe an answer are left out. */
-	private bestFirst(account: AccountName, needed: number): readonly string[] {
-		const oldest = this.options.now() - FREE_AGE_MS
+	private rankedLenders(account: AccountName, needed: number): readonly string[] {
+		const oldest = this.options.now() - MAX_FREE_TOKENS_AGE_MS
 		const isShort = (address: string): boolean => {
-			const leftover = this.leftovers.get(leftoverKey(address, account))
+			const leftover = this.lastFreeTokens.get(freeTokensKey(address, account))
 			return leftover !== undefined && leftover.at > oldest && leftover.free < needed
 		}
-		const open = this.options.order(account).filter((address) => !this.late.has(address))
+		const open = this.options
+			.preferredLenders(account)
+			.filter((address) => !this.lateResponses.has(address))
 		const best = [
 			...open.filter((address) => !isShort(address)),
 			...open.filter((address) => isShort(address)),
 		]
-		return best.slice(0, MOST_LENDERS)
+		return best.slice(0, MAX_LENDERS_PER_REQUEST)
 	}
 
 	/** The box that took the tokens, or an empty text. A box that did not answer may have them. */
-	private async giveToFirst(
+	private async transferToFirst(
 		account: AccountName,
 		tokens: number,
 		budgetsVersion: number,
 	): Promise<string> {
-		const { lenders } = this.options
-		for (const address of this.order(account)) {
-			if ((this.closedUntil.get(address) ?? 0) > this.options.now()) continue
-			if (!(await lenders.isOpen(address))) {
-				this.closedUntil.set(address, this.options.now() + CLOSED_MS)
+		const { tokenPeers: lenders } = this.options
+		for (const address of this.firstLenders(account)) {
+			if ((this.unreachableUntil.get(address) ?? 0) > this.options.now()) continue
+			if (!(await lenders.isReachable(address))) {
+				this.unreachableUntil.set(address, this.options.now() + UNREACHABLE_RETRY_MS)
 				continue
 			}
-			return (await lenders.give(address, account, tokens, budgetsVersion)) ? address : ''
+			return (await lenders.transferTokens(address, account, tokens, budgetsVersion)) ? address : ''
 		}
 		return ''
 	}
 
-	private order(account: AccountName): readonly string[] {
-		return this.options.order(account).slice(0, MOST_LENDERS)
+	private firstLenders(account: AccountName): readonly string[] {
+		return this.options.preferredLenders(account).slice(0, MAX_LENDERS_PER_REQUEST)
 	}
 }
 
 /** Tokens of an account that this box could set aside now. */
-function held(book: AllowanceBook, account: AccountName): number {
+function usableTokens(book: AllowanceLedger, account: AccountName): number {
 	return Math.max(0, book.free(account))
 }
 
-function leftoverKey(address: string, account: AccountName): string {
+function freeTokensKey(address: string, account: AccountName): string {
 	return `${address} ${account}`
 }
--- a/packages/gateway/src/lib/TokenReservation.ts
+++ b/packages/gateway/src/lib/TokenReservation.ts
@@ -1,6 +1,6 @@
 import type { AccountName } from '@stallwing/core'
 import type { AllowanceClient } from './AllowanceClient.js'
-import type { ReserveResult } from './DrawWaiters.js'
+import type { ReserveResult } from './ReservationQueue.js'
 
 /** The tokens set aside for one request; settled exactly once. */
 export class TokenReservation {
@@ -9,7 +9,7 @@
 	constructor(private readonly allowance: AllowanceClient) {}
 
 	/** Sets tokens aside, waiting for a draw where this box holds too little. */
-	async take(account: AccountName, tokens: number, patienceMs: number): Promise<ReserveResult> {
+	async reserve(account: AccountName, tokens: number, patienceMs: number): Promise<ReserveResult> {
 		const result = await this.allowance.reserve(account, tokens, patienceMs)
 		if (result === 'reserved') this.held = { account, tokens }
 		return result
--- a/packages/gateway/src/lib/TrafficDirectory.test.ts
+++ b/packages/gateway/src/lib/TrafficDirectory.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { TestFleet, randomOf } from './testFleet.js'
+import { TestFleet, seededRandom } from './testFleet.js'
 
 /** Time in which a configuration has to be in force, in ms. */
 const BOUND_MS = 2_000
@@ -23,12 +23,12 @@
 		it(`reaches all boxes in time after all were cut off from ${name}`, async () => {
 			const late: string[] = []
 			for (const seed of SEEDS) {
-				const random = randomOf(seed)
+				const random = seededRandom(seed)
 				const fleet = new TestFleet({ zones: ZONES, watchersPerZone: 2, random })
 				fleet.store.put('config/now', 'before')
 				await vi.advanceTimersByTimeAsync(10_000 + 170 * seed)
 				const boxes = fleet.members.map((member) => member.box)
-				fleet.cut(boxes, areApart)
+				fleet.partition(boxes, areApart)
 				await vi.advanceTimersByTimeAsync(8_000 + 130 * seed)
 				fleet.store.put('config/now', 'after')
 				fleet.heal()
--- a/packages/gateway/src/lib/TrafficDirectory.ts
+++ b/packages/gateway/src/lib/TrafficDirectory.ts
@@ -9,8 +9,8 @@
 } from '@stallwing/core'
 import type { StoreItem } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import type { Documents } from './Documents.js'
-import type { TrafficInForce } from './GatewayContext.js'
+import type { StoreLayout } from './StoreLayout.js'
+import type { ActiveTraffic } from './GatewayContext.js'
 
 /** Token budgets by account. */
 export type TokenBudgets = Readonly<Record<AccountName, number>>
@@ -19,9 +19,9 @@
 export interface TrafficDirectoryOptions {
 	/** Key of the configuration in the store. */
 	readonly key: string
-	readonly readConfig: Documents['readConfig']
+	readonly readConfig: StoreLayout['readConfig']
 	/** A newer configuration is in force from now on. */
-	readonly onTraffic: (traffic: TrafficInForce, tokens: TokenBudgets) => void
+	readonly onTraffic: (traffic: ActiveTraffic, tokens: TokenBudgets) => void
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	readonly log: (event: LogEvent) => void
@@ -37,23 +37,23 @@
 	/** Version in force; undefined before the first. */
 	private version: number | undefined
 	/** A configuration that is not taken is read and logged once, not with each change beside it. */
-	private refusedRevision = NO_REVISION
+	private rejectedRevision = NO_REVISION
 
 	constructor(private readonly options: TrafficDirectoryOptions) {}
 
 	/** Takes all items below the prefix of the configuration. */
-	takeItems(items: ReadonlyMap<string, StoreItem>): void {
+	applyItems(items: ReadonlyMap<string, StoreItem>): void {
 		const item = items.get(this.options.key)
 		if (!item || !isNewerRevision(item.revision, this.revision)) return
-		if (!isSameRevision(item.revision, this.refusedRevision)) this.take(item)
+		if (!isSameRevision(item.revision, this.rejectedRevision)) this.applyItem(item)
 	}
 
 	/** A configuration that can't be read is left out: the last one stays in force. */
-	private take({ revision, value }: StoreItem): void {
+	private applyItem({ revision, value }: StoreItem): void {
 		const { log, now, onTraffic, readConfig } = this.options
 		const read = readConfig(value)
 		if (E.isLeft(read)) {
-			this.refusedRevision = revision
+			this.rejectedRevision = revision
 			log({
 				name: 'traffic-refused',
 				fields: { revision: describeRevision(revision), what: read.left.what },
@@ -63,7 +63,7 @@
 		const { version } = read.right
 		const isOtherEra = revision.era !== this.revision.era
 		if (this.version !== undefined && isOtherEra && version < this.version) {
-			this.refusedRevision = revision
+			this.rejectedRevision = revision
 			const fields = { revision: describeRevision(revision), version, inForce: this.version }
 			log({ name: 'traffic-held', fields })
 			return
@@ -76,7 +76,7 @@
 		this.logInForce(traffic, tokens)
 	}
 
-	private logInForce({ index, revision }: TrafficInForce, tokens: TokenBudgets): void {
+	private logInForce({ index, revision }: ActiveTraffic, tokens: TokenBudgets): void {
 		const { accounts, routes, version } = index.config
 		const budgets = Object.entries<number>(tokens)
 			.map(([account, budget]) => `${account}:${budget}`)
@@ -94,7 +94,7 @@
 	}
 }
 
-function budgetsOf({ index }: TrafficInForce): TokenBudgets {
+function budgetsOf({ index }: ActiveTraffic): TokenBudgets {
 	const tokens: Record<AccountName, number> = {}
 	for (const account of index.config.accounts ?? []) {
 		if (account.tokenBudget !== undefined) tokens[account.name] = account.tokenBudget
--- a/packages/gateway/src/lib/NewHeaders.test.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.test.ts
@@ -1,23 +1,23 @@
 import type { LogEvent } from '@stallwing/core'
 import { Metrics } from '@stallwing/telemetry'
 import { beforeEach, describe, expect, it } from 'vitest'
-import { NewHeaders } from './NewHeaders.js'
-import { DIALECT, entryOf } from './testBox.js'
+import { UnknownHeaders } from './UnknownHeaders.js'
+import { TEST_DIALECT, targetEntryOf } from './testBox.js'
 
-const TARGET = entryOf('t', 'unused:1')
+const TARGET = targetEntryOf('t', 'unused:1')
 
 describe('NewHeaders', () => {
 	let logged: LogEvent[]
-	let headers: NewHeaders
+	let headers: UnknownHeaders
 	beforeEach(() => {
 		logged = []
-		const dialect = { ...DIALECT, headers: { ...DIALECT.headers, mark: 'own-mark' } }
+		const dialect = { ...TEST_DIALECT, headers: { ...TEST_DIALECT.headers, mark: 'own-mark' } }
 		const log = (event: LogEvent) => logged.push(event)
-		headers = new NewHeaders({ dialect, metrics: new Metrics(), log })
+		headers = new UnknownHeaders({ dialect, metrics: new Metrics(), log })
 	})
 
 	function note(names: Record<string, string>): void {
-		headers.note({ status: 200, headers: names, rawHeaders: [] }, TARGET)
+		headers.inspect({ status: 200, headers: names, rawHeaders: [] }, TARGET)
 	}
 
 	it('tells of a header of the platform that is not known, once', () => {
--- a/packages/gateway/src/lib/NewHeaders.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.ts
@@ -1,43 +1,43 @@
 import type { LogEvent, TargetEntry } from '@stallwing/core'
 import type { Metrics } from '@stallwing/telemetry'
 import type { Dialect, HeaderNames } from './Dialect.js'
-import type { AnswerHead } from './sendToTarget.js'
+import type { ResponseHead } from './sendToTarget.js'
 
-/** What {@link NewHeaders} works with. */
-export interface NewHeadersOptions {
+/** What {@link UnknownHeaders} works with. */
+export interface UnknownHeadersOptions {
 	readonly dialect: Pick<Dialect, 'headers' | 'ownHeader' | 'unreadHeaders'>
 	readonly metrics: Metrics
 	readonly log: (event: LogEvent) => void
 }
 
 /** Names that are remembered; what comes beyond is not looked at. */
-const MOST_NAMES = 50
+const MAX_RECORDED_NAMES = 50
 /** Characters of a name and a value that a log line holds. */
-const MOST_LOGGED_CHARS = 80
+const MAX_LOGGED_CHARS = 80
 
 /**
  * Headers by which targets speak and that this version does not know: each name is counted and logged once, so that a
  * new word of the platform shows in a log before it shows in what goes wrong because nobody reads it.
  */
-export class NewHeaders {
+export class UnknownHeaders {
 	private readonly known: ReadonlySet<string>
-	private readonly seen = new Set<string>()
+	private readonly recorded = new Set<string>()
 
-	constructor(private readonly options: NewHeadersOptions) {
+	constructor(private readonly options: UnknownHeadersOptions) {
 		const { headers, unreadHeaders } = options.dialect
 		this.known = new Set([...namesOf(headers), ...unreadHeaders])
 	}
 
 	/** Looks through the head of an answer. */
-	note({ headers }: AnswerHead, target: TargetEntry): void {
+	inspect({ headers }: ResponseHead, target: TargetEntry): void {
 		const { log, metrics } = this.options
 		for (const name in headers) {
-			if (!this.isNew(name)) continue
-			this.seen.add(name)
+			if (!this.shouldReport(name)) continue
+			this.recorded.add(name)
 			metrics.count('stallwing_new_headers_total')
 			const fields = {
-				header: name.slice(0, MOST_LOGGED_CHARS),
-				value: String(headers[name]).slice(0, MOST_LOGGED_CHARS),
+				header: name.slice(0, MAX_LOGGED_CHARS),
+				value: String(headers[name]).slice(0, MAX_LOGGED_CHARS),
 				target: target.name,
 				service: target.service,
 			}
@@ -45,8 +45,9 @@
 		}
 	}
 
-	private isNew(name: string): boolean {
-		if (this.known.has(name) || this.seen.has(name) || this.seen.size >= MOST_NAMES) return false
+	private shouldReport(name: string): boolean {
+		if (this.known.has(name) || this.recorded.has(name) || this.recorded.size >= MAX_RECORDED_NAMES)
+			return false
 		return this.options.dialect.ownHeader.test(name)
 	}
 }
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -1,11 +1,11 @@
-import { brandId, type BoxName, type TargetBoard, type TargetWork } from '@stallwing/core'
+import { brandId, type BoxName, type TargetRegistry, type TargetWork } from '@stallwing/core'
 import { decodeWork, encodeWork } from './workCodec.js'
 import type { PeerDatagrams } from './PeerDatagrams.js'
 
 /** What {@link WorkSharing} works with. */
 export interface WorkSharingOptions {
 	readonly box: BoxName
-	readonly board: TargetBoard
+	readonly registry: TargetRegistry
 	readonly datagrams: PeerDatagrams
 	/** Addresses of the boxes that are told. */
 	readonly peers: () => readonly string[]
@@ -47,19 +47,19 @@
 
 	/** Work of all boxes that this one knows of, but for the one that asks. */
 	fleetWork(asker: BoxName): TargetWork[] {
-		const { board, now } = this.options
-		return board.workOf((box) => box !== asker && box !== FLEET, now())
+		const { registry: board, now } = this.options
+		return board.openWork((box) => box !== asker && box !== FLEET, now())
 	}
 
 	/** Takes in what a hub knows of all other boxes. */
 	noteFleetWork(work: readonly TargetWork[]): void {
-		this.options.board.notePeerWork(FLEET, work, this.options.now())
+		this.options.registry.notePeerWork(FLEET, work, this.options.now())
 	}
 
 	private tell(): void {
-		const { box, board, now, peers } = this.options
+		const { box, registry: board, now, peers } = this.options
 		const isHub = this.options.isHub()
-		const work = board.workOf((other) => isHub && this.isOrdinary(other), now())
+		const work = board.openWork((other) => isHub && this.isOrdinary(other), now())
 		const message = encodeWork({ box, isHub, work })
 		const isRepeat = message === this.told
 		if (isRepeat && (work.length === 0 || now() - this.toldAt < REPEAT_MS)) return
@@ -79,7 +79,7 @@
 		if (!message) return false
 		if (message.isHub) this.hubs.add(message.box)
 		else this.hubs.delete(message.box)
-		this.options.board.notePeerWork(message.box, message.work, this.options.now())
+		this.options.registry.notePeerWork(message.box, message.work, this.options.now())
 		return true
 	}
 }
--- a/packages/gateway/src/lib/moneyDocuments.test.ts
+++ b/packages/gateway/src/lib/allowanceDocuments.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { readAllowanceRow, readSpendingMark } from './moneyDocuments.js'
+import { readAllowanceRow, readSpendingMark } from './allowanceDocuments.js'
 
 /** Documents that are tried; by hand, many more. */
 const CASES = Number(process.env['FUZZ_CASES'] ?? 2_000)
@@ -14,20 +14,20 @@
 }
 const MARK = { holder: 'h', wallTime: 7, marks: { acme: 5 } }
 
-function bytesOf(document: unknown): Buffer {
+function encode(document: unknown): Buffer {
 	return Buffer.from(JSON.stringify(document))
 }
 
 describe('records of money', () => {
 	it('are read as they were written', () => {
-		expect(readAllowanceRow(bytesOf(ROW))).toEqual(ROW)
-		expect(readSpendingMark(bytesOf(MARK))).toEqual(MARK)
+		expect(readAllowanceRow(encode(ROW))).toEqual(ROW)
+		expect(readSpendingMark(encode(MARK))).toEqual(MARK)
 	})
 
 	it('are read where a box gave back more than it drew: its part is below zero', () => {
 		const box = { ...ROW.boxes['box-1'], drawn: { acme: -677 }, spent: { acme: -677 } }
 		const row = { ...ROW, boxes: { 'box-1': box } }
-		expect(readAllowanceRow(bytesOf(row))).toEqual(row)
+		expect(readAllowanceRow(encode(row))).toEqual(row)
 	})
 
 	it('of another writer are none', () => {
@@ -44,17 +44,17 @@
 			{ ...ROW, boxes: { 'box-1': { ...box, spent: { acme: 'all' } } } },
 			{ ...ROW, boxes: { 'box-1': { ...box, rates: 3 } } },
 		])
-			expect(readAllowanceRow(bytesOf(row)), JSON.stringify(row)).toBeUndefined()
+			expect(readAllowanceRow(encode(row)), JSON.stringify(row)).toBeUndefined()
 		for (const mark of [null, {}, { ...MARK, marks: { acme: null } }, { ...MARK, wallTime: '7' }])
-			expect(readSpendingMark(bytesOf(mark)), JSON.stringify(mark)).toBeUndefined()
+			expect(readSpendingMark(encode(mark)), JSON.stringify(mark)).toBeUndefined()
 	})
 
 	it('never make a reader throw', () => {
 		const documents = fc.oneof(
 			fc.uint8Array().map((bytes) => Buffer.from(bytes)),
 			fc.json().map((text) => Buffer.from(text)),
-			fc.jsonValue().map((boxes) => bytesOf({ ...ROW, boxes })),
-			fc.jsonValue().map((marks) => bytesOf({ ...MARK, marks })),
+			fc.jsonValue().map((boxes) => encode({ ...ROW, boxes })),
+			fc.jsonValue().map((marks) => encode({ ...MARK, marks })),
 		)
 		const property = fc.property(documents, (bytes) => {
 			const row = readAllowanceRow(bytes)
--- a/packages/gateway/src/lib/takeTargetNotice.ts
+++ b/packages/gateway/src/lib/applyTargetNotice.ts
@@ -1,11 +1,11 @@
 import {
 	describeRevision,
 	exhaustive,
-	lifeOf,
+	incarnationOf,
 	type AttemptHandle,
 	type LogEventName,
 	type LogValue,
-	type Place,
+	type Placement,
 } from '@stallwing/core'
 import type { CallerRequest } from './CallerRequest.js'
 import type { GatewayContext } from './GatewayContext.js'
@@ -15,7 +15,7 @@
 /** The attempt whose answer speaks. */
 interface AnsweredAttempt {
 	readonly handle: AttemptHandle
-	readonly place: Place
+	readonly place: Placement
 	readonly request: CallerRequest
 }
 
@@ -23,7 +23,7 @@
  * Takes what a target says of itself to the board, from the head of any answer on: the list may be out of date while
  * the store is away, and a target that turns requests away at once would look the cheapest of all.
  */
-export function takeTargetNotice(
+export function applyTargetNotice(
 	context: GatewayContext,
 	attempt: AnsweredAttempt,
 	notice: TargetNotice,
@@ -32,14 +32,14 @@
 	const now = context.now()
 	if (notice.load) handle.noteLoad(notice.load, now)
 	if (notice.coldMs !== undefined) handle.noteCold(notice.coldMs, now)
-	takeBackoff(context, attempt, notice.backoff, now)
-	takeRate(context, attempt, notice.rate, now)
+	applyBackoff(context, attempt, notice.backoff, now)
+	applyRate(context, attempt, notice.rate, now)
 	if (!notice.leaving || !handle.noteLeaving(now)) return
 	logNotice(context, attempt, 'target-said-leaving', {})
-	context.onSaidLeaving(place.target)
+	context.onTargetLeaving(place.target)
 }
 
-function takeBackoff(
+function applyBackoff(
 	context: GatewayContext,
 	attempt: AnsweredAttempt,
 	backoff: BackoffNotice,
@@ -66,7 +66,7 @@
  * and without this word it looks the cheapest of all, for it has little work: seven boxes then sent it ten times what it
  * named (`targetRates.test.ts`).
  */
-function takeRate(
+function applyRate(
 	context: GatewayContext,
 	attempt: AnsweredAttempt,
 	rate: RateNotice,
@@ -78,14 +78,14 @@
 		case 'none': {
 			if (!attempt.handle.noteRate(undefined, now)) return
 			logNotice(context, attempt, 'target-rate-ended', {})
-			context.onSaidRate(attempt.place.target, undefined, true)
+			context.onTargetRate(attempt.place.target, undefined, true)
 			return
 		}
 		case 'named': {
 			const { perSecond } = rate
 			const isNews = attempt.handle.noteRate(perSecond, now)
 			if (isNews) logNotice(context, attempt, 'target-named-rate', { perSecond })
-			context.onSaidRate(attempt.place.target, perSecond, isNews)
+			context.onTargetRate(attempt.place.target, perSecond, isNews)
 			return
 		}
 		case 'unreadable':
@@ -109,7 +109,7 @@
 		name,
 		fields: {
 			target: target.name,
-			life: lifeOf(target),
+			life: incarnationOf(target),
 			service: target.service,
 			request: request.id,
 			targetRevision: describeRevision(target.revision),
--- a/packages/gateway/src/lib/exchangeLines.ts
+++ b/packages/gateway/src/lib/exchangeEvents.ts
@@ -3,21 +3,21 @@
 	type LogEvent,
 	type LogEventName,
 	type LogValue,
-	type Place,
+	type Placement,
 	type Route,
 } from '@stallwing/core'
-import type { AnswerWriter } from './AnswerWriter.js'
+import type { ResponseWriter } from './ResponseWriter.js'
 import type { CallerRequest } from './CallerRequest.js'
 import { describeRates } from './describeRates.js'
-import type { GatewayContext, TrafficInForce } from './GatewayContext.js'
+import type { GatewayContext, ActiveTraffic } from './GatewayContext.js'
 import { roundAge } from './roundAge.js'
 
 /** The line about the choice of a target: what decided it, and how old that was. */
-export function choiceLine(
+export function targetChosenEvent(
 	context: GatewayContext,
 	request: CallerRequest,
-	traffic: TrafficInForce,
-	place: Place,
+	traffic: ActiveTraffic,
+	place: Placement,
 	leftMs: number,
 ): LogEvent {
 	return {
@@ -28,42 +28,42 @@
 			service: request.service,
 			costMs: Math.round(place.cost.ms),
 			expectedMs: Math.round(place.cost.expectedMs),
-			unreadTokens: Math.round(place.cost.unreadTokens),
+			unreadTokens: Math.round(place.cost.prefillTokens),
 			candidates: place.candidates,
 			loadAgeMs: place.loadAgeMs,
 			targetRevision: describeRevision(place.target.revision),
 			targetListAgeMs: roundAge(context.targetListAgeMs()),
-			lapsed: context.isLapsed(place.target.name),
+			lapsed: context.isExpired(place.target.name),
 			leftMs: Math.round(leftMs),
-			heldBack: describeRates(context.board.heldBack(request.service, context.now())),
+			heldBack: describeRates(context.registry.exhaustedRateLimits(request.service, context.now())),
 			configuration: traffic.index.config.version,
-			configurationAgeMs: Math.round(context.worldNow() - traffic.since),
+			configurationAgeMs: Math.round(context.suspendAwareNow() - traffic.since),
 		},
 	}
 }
 
 /** What decides whether an answer was in time: times since the arrival, and what the route aims at, in ms. */
-export function answerTimes(
-	answer: AnswerWriter,
+export function responseTimes(
+	answer: ResponseWriter,
 	route: Route,
 	arrivedAt: number,
 	firstSentAt: number | undefined,
 ): Readonly<Record<string, LogValue>> {
-	const { events, firstAt, longestPauseMs } = answer
+	const { eventCount: events, firstWriteAt: firstAt, maxEventGapMs: longestPauseMs } = answer
 	const sinceArrival = (at: number | undefined): number =>
 		at === undefined ? -1 : Math.round(at - arrivedAt)
 	return {
 		events,
 		sentMs: sinceArrival(firstSentAt),
 		firstMs: sinceArrival(firstAt),
-		aimMs: route.aimMs,
+		aimMs: route.latencyGoalMs,
 		longestPauseMs: Math.round(longestPauseMs),
-		pauseAimMs: route.pauseAimMs ?? -1,
+		pauseAimMs: route.eventGapGoalMs ?? -1,
 	}
 }
 
 /** The line about the end of a request; `request` is undefined where its head could not be read. */
-export function endLine(
+export function requestEndEvent(
 	name: LogEventName,
 	request: CallerRequest | undefined,
 	facts: Readonly<Record<string, LogValue>>,
@@ -78,7 +78,7 @@
 }
 
 /** The line about a stream that is taken up at another target after an event. */
-export function resumeLine(
+export function streamResumedEvent(
 	request: CallerRequest,
 	lastEvent: number | undefined,
 	cause: string,
--- a/packages/gateway/src/lib/feedCodec.test.ts
+++ b/packages/gateway/src/lib/feedCodec.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
-import type { FeedAnswer } from './answerFeed.js'
-import { decodeFeedAnswer, encodeFeedAnswer } from './feedCodec.js'
+import type { FeedResponse } from './handleFeedRequest.js'
+import { decodeFeedResponse, encodeFeedResponse } from './feedCodec.js'
 
 const SMALL = { key: 'a/x', value: Buffer.from('one'), revision: { era: 1, number: 3 } }
 const LARGE = {
@@ -9,15 +9,15 @@
 	revision: { era: 1, number: 4 },
 }
 
-function passedOn(answer: FeedAnswer): FeedAnswer | undefined {
-	return decodeFeedAnswer(JSON.stringify(encodeFeedAnswer(answer)), 0)
+function passedOn(answer: FeedResponse): FeedResponse | undefined {
+	return decodeFeedResponse(JSON.stringify(encodeFeedResponse(answer)), 0)
 }
 
 describe('answers about changes', () => {
 	it('arrive as they were told', () => {
-		const answer: FeedAnswer = {
-			wordAgeMs: 40,
-			answeredMs: 7_000,
+		const answer: FeedResponse = {
+			confirmationAgeMs: 40,
+			storeAvailableMs: 7_000,
 			changes: [
 				{ kind: 'written', item: SMALL },
 				{ kind: 'written', item: LARGE },
@@ -28,9 +28,9 @@
 	})
 
 	it('arrive with all items, and without a word of the store', () => {
-		const answer: FeedAnswer = {
-			wordAgeMs: Infinity,
-			answeredMs: 0,
+		const answer: FeedResponse = {
+			confirmationAgeMs: Infinity,
+			storeAvailableMs: 0,
 			changes: [],
 			listing: { items: [SMALL, LARGE], at: { era: 1, number: 9 } },
 		}
@@ -38,7 +38,7 @@
 	})
 
 	it('are read from boxes that tell less', () => {
-		expect(decodeFeedAnswer('{"wordAgeMs":5,"changes":[]}', 1)).toEqual({
+		expect(decodeFeedResponse('{"wordAgeMs":5,"changes":[]}', 1)).toEqual({
 			wordAgeMs: 5,
 			answeredMs: 0,
 			changes: [],
@@ -53,6 +53,6 @@
 			'{"wordAgeMs":1,"changes":[],"listing":{"items":[]}}',
 			'{"wordAgeMs":1,"changes":[],"listing":{"at":1}}',
 		])
-			expect(decodeFeedAnswer(text, 1)).toBeUndefined()
+			expect(decodeFeedResponse(text, 1)).toBeUndefined()
 	})
 })
--- a/packages/gateway/src/lib/feedCodec.ts
+++ b/packages/gateway/src/lib/feedCodec.ts
@@ -1,6 +1,6 @@
 import { gunzipSync, gzipSync } from 'node:zlib'
 import type { StoreChange, StoreItem, StoreListing } from '@stallwing/store'
-import type { FeedAnswer } from './answerFeed.js'
+import type { FeedResponse } from './handleFeedRequest.js'
 import { roundAge } from './roundAge.js'
 
 /** A change as boxes write it to each other; without a value, the key is gone. */
@@ -13,8 +13,8 @@
 	readonly packed?: boolean
 }
 
-/** A {@link FeedAnswer} as boxes write it to each other. */
-interface WireAnswer {
+/** A {@link FeedResponse} as boxes write it to each other. */
+interface WireFeedResponse {
 	/** Negative: the store never answered. */
 	readonly wordAgeMs: number
 	/** 0 where it is missing: the box runs an older version. */
@@ -32,18 +32,18 @@
 }
 
 /** Values above this size are packed, in bytes: below it, an answer fits into a few packets as it is. */
-const PACKED_FROM_BYTES = 8 * 1024
+const MIN_COMPRESSED_BYTES = 8 * 1024
 /** Speed goes before size: a box has a part of a core. */
-const PACK_LEVEL = 1
+const GZIP_LEVEL = 1
 /** Largest value that is unpacked, in bytes: the store takes 1 MB. */
-const MOST_UNPACKED_BYTES = 8 * 1024 * 1024
+const MAX_DECOMPRESSED_BYTES = 8 * 1024 * 1024
 
 /** Packed values of items: one item is told to many boxes. */
-const packedValues = new WeakMap<StoreItem, string>()
+const compressedValues = new WeakMap<StoreItem, string>()
 
 /** A JSON document for an answer. */
-export function encodeFeedAnswer(answer: FeedAnswer): WireAnswer {
-	const { answeredMs, changes, listing, wordAgeMs } = answer
+export function encodeFeedResponse(answer: FeedResponse): WireFeedResponse {
+	const { storeAvailableMs: answeredMs, changes, listing, confirmationAgeMs: wordAgeMs } = answer
 	return {
 		wordAgeMs: roundAge(wordAgeMs),
 		answeredMs: Math.round(answeredMs),
@@ -54,24 +54,24 @@
 }
 
 /** Era of all that an answer brings: boxes know one era of a prefix at a time. */
-function eraOf({ changes, listing }: FeedAnswer): number | undefined {
+function eraOf({ changes, listing }: FeedResponse): number | undefined {
 	const [first] = changes
 	if (first) return (first.kind === 'gone' ? first.revision : first.item.revision).era
 	return listing?.at.era
 }
 
 /**
- * Reads what {@link encodeFeedAnswer} made; undefined where it is something else. `askedEra`: the era that the box
+ * Reads what {@link encodeFeedResponse} made; undefined where it is something else. `askedEra`: the era that the box
  * which asked knows.
  */
-export function decodeFeedAnswer(text: string, askedEra: number): FeedAnswer | undefined {
+export function decodeFeedResponse(text: string, askedEra: number): FeedResponse | undefined {
 	try {
-		const wire = JSON.parse(text) as Partial<WireAnswer>
+		const wire = JSON.parse(text) as Partial<WireFeedResponse>
 		if (typeof wire.wordAgeMs !== 'number' || !Array.isArray(wire.changes)) return undefined
 		const era = Number.isSafeInteger(wire.era) ? (wire.era ?? askedEra) : askedEra
 		return {
-			wordAgeMs: wire.wordAgeMs < 0 ? Number.POSITIVE_INFINITY : wire.wordAgeMs,
-			answeredMs: typeof wire.answeredMs === 'number' ? wire.answeredMs : 0,
+			confirmationAgeMs: wire.wordAgeMs < 0 ? Number.POSITIVE_INFINITY : wire.wordAgeMs,
+			storeAvailableMs: typeof wire.answeredMs === 'number' ? wire.answeredMs : 0,
 			changes: (wire.changes as WireChange[]).map((change) => decodeChange(change, era)),
 			...(wire.listing && { listing: decodeListing(wire.listing, era) }),
 		}
@@ -101,15 +101,15 @@
 function encodeItem(item: StoreItem): WireChange {
 	const { key, value } = item
 	const revision = item.revision.number
-	if (value.length < PACKED_FROM_BYTES) return { key, revision, value: value.toString('base64') }
-	return { key, revision, value: pack(item), packed: true }
+	if (value.length < MIN_COMPRESSED_BYTES) return { key, revision, value: value.toString('base64') }
+	return { key, revision, value: compressValue(item), packed: true }
 }
 
-function pack(item: StoreItem): string {
-	const known = packedValues.get(item)
+function compressValue(item: StoreItem): string {
+	const known = compressedValues.get(item)
 	if (known !== undefined) return known
-	const packed = gzipSync(item.value, { level: PACK_LEVEL }).toString('base64')
-	packedValues.set(item, packed)
+	const packed = gzipSync(item.value, { level: GZIP_LEVEL }).toString('base64')
+	compressedValues.set(item, packed)
 	return packed
 }
 
@@ -122,6 +122,6 @@
 	const revision = { era, number }
 	if (value === undefined) return { kind: 'gone', key, revision }
 	const bytes = Buffer.from(value, 'base64')
-	const unpacked = packed ? gunzipSync(bytes, { maxOutputLength: MOST_UNPACKED_BYTES }) : bytes
+	const unpacked = packed ? gunzipSync(bytes, { maxOutputLength: MAX_DECOMPRESSED_BYTES }) : bytes
 	return { kind: 'written', item: { key, revision, value: unpacked } }
 }
--- a/packages/gateway/src/lib/followDocuments.ts
+++ b/packages/gateway/src/lib/followDocuments.ts
@@ -5,11 +5,11 @@
 import type { TargetDirectory } from './TargetDirectory.js'
 import { TrafficDirectory, type TrafficDirectoryOptions } from './TrafficDirectory.js'
 import { followStore } from './followStore.js'
-import { watchMsFor } from './watchMsFor.js'
+import { watchDurationMs } from './watchDurationMs.js'
 
 /** What the operator and the targets write, and who takes it. */
-export interface DocumentFollowers {
-	readonly gateway: Pick<GatewayOptions, 'contactMs' | 'documents' | 'log' | 'worldNow'>
+export interface FollowDocumentsOptions {
+	readonly gateway: Pick<GatewayOptions, 'contactMs' | 'storeLayout' | 'log' | 'suspendAwareNow'>
 	readonly feed: FeedRelay
 	readonly cordons: CordonDirectory
 	readonly targets: TargetDirectory
@@ -17,13 +17,13 @@
 }
 
 /** Followers of the configuration with the cordons, and of the list of targets. They do not run yet. */
-export function followDocuments(followers: DocumentFollowers): PrefixFollower[] {
+export function followDocuments(followers: FollowDocumentsOptions): PrefixFollower[] {
 	return [followConfiguration(followers), followTargets(followers)]
 }
 
-function followConfiguration(followers: DocumentFollowers): PrefixFollower {
+function followConfiguration(followers: FollowDocumentsOptions): PrefixFollower {
 	const { cordons, feed, gateway, onTraffic } = followers
-	const { contactMs, documents, log, worldNow } = gateway
+	const { contactMs, storeLayout: documents, log, suspendAwareNow: worldNow } = gateway
 	const directory = new TrafficDirectory({
 		key: documents.configKey,
 		readConfig: (value) => documents.readConfig(value),
@@ -34,21 +34,21 @@
 	return followStore({
 		feed,
 		prefix: documents.configPrefix,
-		watchMs: watchMsFor(contactMs),
+		watchMs: watchDurationMs(contactMs),
 		onItems: (items, at) => {
-			directory.takeItems(items)
-			cordons.takeItems(items, at)
+			directory.applyItems(items)
+			cordons.applyItems(items, at)
 		},
 		log,
 	})
 }
 
-function followTargets({ feed, gateway, targets }: DocumentFollowers): PrefixFollower {
+function followTargets({ feed, gateway, targets }: FollowDocumentsOptions): PrefixFollower {
 	return followStore({
 		feed,
-		prefix: gateway.documents.targetsPrefix,
-		watchMs: watchMsFor(gateway.contactMs),
-		onItems: (items, at) => targets.takeItems(items, at),
+		prefix: gateway.storeLayout.targetsPrefix,
+		watchMs: watchDurationMs(gateway.contactMs),
+		onItems: (items, at) => targets.applyItems(items, at),
 		onContact: (contact) => targets.noteContact(contact),
 		log: gateway.log,
 	})
--- a/packages/gateway/src/lib/followStore.ts
+++ b/packages/gateway/src/lib/followStore.ts
@@ -1,14 +1,14 @@
 import type { LogEvent } from '@stallwing/core'
-import { PrefixFollower, type FollowerOptions, type StoreContact } from '@stallwing/store'
+import { PrefixFollower, type PrefixFollowerOptions, type StoreContact } from '@stallwing/store'
 import type { FeedRelay } from './FeedRelay.js'
 
 /** What is followed, and who takes it. */
-export interface FollowOptions {
+export interface FollowStoreOptions {
 	readonly feed: FeedRelay
 	readonly prefix: string
 	/** Longest wait of one watch, in ms. */
 	readonly watchMs: number
-	readonly onItems: FollowerOptions['onItems']
+	readonly onItems: PrefixFollowerOptions['onItems']
 	readonly onContact?: (contact: StoreContact) => void
 	readonly log: (event: LogEvent) => void
 }
@@ -16,7 +16,7 @@
 const RETRY_MS = 150
 
 /** A follower of a prefix that logs when the store is lost and reached again. It does not run yet. */
-export function followStore(options: FollowOptions): PrefixFollower {
+export function followStore(options: FollowStoreOptions): PrefixFollower {
 	const { feed, log, onContact, onItems, prefix, watchMs } = options
 	return new PrefixFollower(feed, {
 		prefix,
@@ -25,13 +25,13 @@
 		onItems,
 		onContact: (contact) => {
 			onContact?.(contact)
-			log(contactLine(prefix, contact))
+			log(contactEvent(prefix, contact))
 		},
 		sleep: (ms) => feed.pause(ms),
 	})
 }
 
-function contactLine(prefix: string, contact: StoreContact): LogEvent {
+function contactEvent(prefix: string, contact: StoreContact): LogEvent {
 	if (contact.kind === 'reached') return { name: 'store-reached', fields: { prefix } }
 	return { name: 'store-lost', fields: { prefix, fault: JSON.stringify(contact.fault) } }
 }
--- a/packages/gateway/src/lib/leavingCodec.ts
+++ b/packages/gateway/src/lib/leavingCodec.ts
@@ -1,4 +1,4 @@
-import { brandId, type TargetName, type TargetStart } from '@stallwing/core'
+import { brandId, type TargetName, type TargetIdentity } from '@stallwing/core'
 import { readDatagramRows } from './readDatagramRows.js'
 
 /** Name of a target and the time of day of its start, in ms; null where it has none. */
@@ -9,7 +9,7 @@
 }
 
 /** Targets that leave, as a text for other boxes. */
-export function encodeLeaving(targets: readonly TargetStart[]): string {
+export function encodeLeaving(targets: readonly TargetIdentity[]): string {
 	const message: WireMessage = {
 		leaving: targets.map(({ name, bornAt }) => [name, bornAt ?? null]),
 	}
@@ -17,11 +17,11 @@
 }
 
 /** Undefined where the bytes are something else. Rows that can't be read are left out. */
-export function decodeLeaving(bytes: Buffer): readonly TargetStart[] | undefined {
+export function decodeLeaving(bytes: Buffer): readonly TargetIdentity[] | undefined {
 	return readDatagramRows(bytes, 'leaving')?.flatMap((row) => fromWire(row) ?? [])
 }
 
-function fromWire(row: unknown): TargetStart | undefined {
+function fromWire(row: unknown): TargetIdentity | undefined {
 	if (!Array.isArray(row)) return undefined
 	const [name, bornAt] = row as unknown[]
 	if (typeof name !== 'string' || name === '') return undefined
--- a/packages/gateway/src/lib/parseAddress.ts
+++ b/packages/gateway/src/lib/parseAddress.ts
@@ -7,11 +7,11 @@
 	return { host, port: Number(port) }
 }
 
-const MOST_PORT = 65_535
+const MAX_PORT = 65_535
 
 /** True where a text is an IP number and a port that can be connected to. */
 export function isSocketAddress(text: string): boolean {
 	const colon = text.lastIndexOf(':')
 	const port = text.slice(colon + 1)
-	return isIPv4(text.slice(0, colon)) && /^[1-9]\d{0,4}$/.test(port) && Number(port) <= MOST_PORT
+	return isIPv4(text.slice(0, colon)) && /^[1-9]\d{0,4}$/.test(port) && Number(port) <= MAX_PORT
 }
--- a/packages/gateway/src/lib/quarantineCodec.test.ts
+++ b/packages/gateway/src/lib/quarantineCodec.test.ts
@@ -2,7 +2,7 @@
 	brandId,
 	type CrashRecord,
 	type RequestFingerprint,
-	type TargetLife,
+	type TargetIncarnation,
 } from '@stallwing/core'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
@@ -15,7 +15,7 @@
 	fingerprint: brandId<RequestFingerprint>('0123456789abcdef0123456789abcdef'),
 	hint: 77,
 	generation: 1,
-	runs: [{ life: brandId<TargetLife>('t-1@5'), beganAt: 900, endedAt: 960 }],
+	runs: [{ life: brandId<TargetIncarnation>('t-1@5'), beganAt: 900, endedAt: 960 }],
 	isQuarantined: true,
 	hadSecondChance: false,
 	changedAt: 960,
--- a/packages/gateway/src/lib/quarantineCodec.ts
+++ b/packages/gateway/src/lib/quarantineCodec.ts
@@ -3,7 +3,7 @@
 	type CrashRecord,
 	type CrashedRun,
 	type RequestFingerprint,
-	type TargetLife,
+	type TargetIncarnation,
 } from '@stallwing/core'
 import { readDatagramRows } from './readDatagramRows.js'
 
@@ -76,7 +76,11 @@
 	if (!Array.isArray(row)) return undefined
 	const [life, beganAgo, endedAgo] = row as unknown[]
 	if (typeof life !== 'string' || !isCount(beganAgo) || !isCount(endedAgo)) return undefined
-	return { life: brandId<TargetLife>(life), beganAt: now - beganAgo, endedAt: now - endedAgo }
+	return {
+		life: brandId<TargetIncarnation>(life),
+		beganAt: now - beganAgo,
+		endedAt: now - endedAgo,
+	}
 }
 
 function isCount(value: unknown): value is number {
--- a/packages/gateway/src/lib/rateCodec.ts
+++ b/packages/gateway/src/lib/rateCodec.ts
@@ -1,8 +1,8 @@
-import { brandId, type TargetName, type TargetStart } from '@stallwing/core'
+import { brandId, type TargetName, type TargetIdentity } from '@stallwing/core'
 import { readDatagramRows } from './readDatagramRows.js'
 
 /** What a target last said of the requests a second that it takes from all boxes together. */
-export interface RateWord extends TargetStart {
+export interface RateWord extends TargetIdentity {
 	/** Undefined: it names none any more. */
 	readonly perSecond: number | undefined
 	/** When it said so, in ms of this box's steady clock. */
--- a/packages/gateway/src/lib/readTargetNotice.test.ts
+++ b/packages/gateway/src/lib/readTargetNotice.test.ts
@@ -1,13 +1,13 @@
 import * as fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { DIALECT } from './testBox.js'
+import { TEST_DIALECT } from './testBox.js'
 import { readTargetNotice, type BackoffNotice, type RateNotice } from './readTargetNotice.js'
 
-const WRONG_TARGET = DIALECT.wrongTargetStatus
+const WRONG_TARGET = TEST_DIALECT.wrongTargetStatus
 const LOAD = { running: 3, waiting: 0, slots: 8 }
 
 function read(status: number, headers: Record<string, string | string[]>) {
-	const dialect = { ...DIALECT, readLoad: () => LOAD }
+	const dialect = { ...TEST_DIALECT, readLoad: () => LOAD }
 	return readTargetNotice({ status, headers, rawHeaders: [] }, dialect)
 }
 
--- a/packages/gateway/src/lib/readTargetNotice.ts
+++ b/packages/gateway/src/lib/readTargetNotice.ts
@@ -1,7 +1,7 @@
 import { exhaustive, type TargetLoad } from '@stallwing/core'
 import type { Dialect, HeaderNames } from './Dialect.js'
 import { isSuccess } from './isSuccess.js'
-import type { AnswerHead } from './sendToTarget.js'
+import type { ResponseHead } from './sendToTarget.js'
 
 /**
  * The time for which a target wants no requests from this box.
@@ -48,18 +48,18 @@
 	coldMs: undefined,
 }
 /** The standard header of HTTP, in seconds; a date is not understood, as targets send none. */
-const RETRY_AFTER = 'retry-after'
+const RETRY_AFTER_HEADER = 'retry-after'
 /** Statuses of answers that turn a request away, on which the header speaks of the target's load. */
-const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503])
+const BACKOFF_STATUSES: ReadonlySet<number> = new Set([429, 503])
 /** Whole numbers or decimals, as the platform writes seconds and rates. */
 const DECIMAL = /^\d{1,9}(\.\d{1,9})?$/
 const SECOND_MS = 1_000
 /** Characters of a header that is not understood that a log line holds. */
-const MOST_LOGGED_CHARS = 40
+const MAX_LOGGED_CHARS = 40
 
 /** Reads all that an answer says of its target. */
 export function readTargetNotice(
-	head: AnswerHead,
+	head: ResponseHead,
 	dialect: Pick<Dialect, 'headers' | 'readLoad' | 'wrongTargetStatus'>,
 ): TargetNotice {
 	if (head.status === dialect.wrongTargetStatus) return NO_NOTICE
@@ -104,19 +104,19 @@
 	}
 }
 
-function readBackoff({ status, headers }: AnswerHead): BackoffNotice {
-	const text = headers[RETRY_AFTER]
-	if (text === undefined || !TURNED_AWAY.has(status)) return { kind: 'none' }
+function readBackoff({ status, headers }: ResponseHead): BackoffNotice {
+	const text = headers[RETRY_AFTER_HEADER]
+	if (text === undefined || !BACKOFF_STATUSES.has(status)) return { kind: 'none' }
 	const [first = ''] = valuesOf(text)
 	if (DECIMAL.test(first)) return { kind: 'asked', ms: Number(first) * SECOND_MS }
-	return { kind: 'unreadable', text: String(text).slice(0, MOST_LOGGED_CHARS) }
+	return { kind: 'unreadable', text: String(text).slice(0, MAX_LOGGED_CHARS) }
 }
 
 /**
  * The lowest counts where it is named more than once. Only an answer that succeeded ends a rate: a refusal may come from
  * a part of the target that does not know of it.
  */
-function readRate({ status, headers }: AnswerHead, names: HeaderNames): RateNotice {
+function readRate({ status, headers }: ResponseHead, names: HeaderNames): RateNotice {
 	const text = headers[names.requestRate]
 	if (text === undefined) {
 		const isOwn = isSuccess(status) && headers[names.mark] !== undefined
@@ -125,7 +125,7 @@
 	const values = valuesOf(text)
 	if (values.every((value) => DECIMAL.test(value)))
 		return { kind: 'named', perSecond: Math.min(...values.map(Number)) }
-	return { kind: 'unreadable', text: String(text).slice(0, MOST_LOGGED_CHARS) }
+	return { kind: 'unreadable', text: String(text).slice(0, MAX_LOGGED_CHARS) }
 }
 
 function readColdMs(header: string | string[] | undefined): number | undefined {
--- a/packages/gateway/src/lib/requestFingerprint.ts
+++ b/packages/gateway/src/lib/requestFingerprint.ts
@@ -3,7 +3,7 @@
 import type { CallerRequest } from './CallerRequest.js'
 
 /** Characters kept of the hash, 4 bits each: 128 bits, so that nobody finds two requests with the same one. */
-const HEX_DIGITS = 32
+const FINGERPRINT_HEX_DIGITS = 32
 
 /**
  * What tells a request from others whichever box it comes to: method, path, account and body. Its id and its
@@ -15,5 +15,5 @@
 ): RequestFingerprint {
 	const head = JSON.stringify([method, path, account?.name ?? ''])
 	const hash = createHash('sha256').update(head).update(body).digest('hex')
-	return brandId<RequestFingerprint>(hash.slice(0, HEX_DIGITS))
+	return brandId<RequestFingerprint>(hash.slice(0, FINGERPRINT_HEX_DIGITS))
 }
--- a/packages/gateway/src/lib/requestQuarantine.test.ts
+++ b/packages/gateway/src/lib/requestQuarantine.test.ts
@@ -10,7 +10,7 @@
 import { afterEach, describe, expect, it } from 'vitest'
 import { freePort } from './freePort.js'
 import { sleep } from './sleep.js'
-import { DIALECT, TestBox, configOf, entryOf } from './testBox.js'
+import { TEST_DIALECT, TestBox, trafficConfigOf, targetEntryOf } from './testBox.js'
 
 const FATAL = 'fatal'
 const BOXES = 4
@@ -72,7 +72,7 @@
 	private targets: readonly CrashingTarget[] = []
 
 	async start(): Promise<void> {
-		this.store.put('config/now', JSON.stringify(configOf(1)))
+		this.store.put('config/now', JSON.stringify(trafficConfigOf(1)))
 		this.targets = Array.from({ length: TARGETS }, (_, i) => this.makeTarget(`t${i}`))
 		await Promise.all(this.targets.map((target) => target.start()))
 		await this.startBoxes()
@@ -88,7 +88,7 @@
 		const ports = await Promise.all(Array.from({ length: BOXES }, freePort))
 		this.boxes = ports.map((port, i) => new TestBox(`box-${i}`, this.store, port))
 		await Promise.all(this.boxes.map((box) => box.start()))
-		await Promise.all(this.boxes.map((box) => box.ready()))
+		await Promise.all(this.boxes.map((box) => box.waitUntilReady()))
 	}
 
 	async stop(): Promise<void> {
@@ -105,7 +105,7 @@
 
 	/** Releases a request at one box. */
 	release(fingerprint: string): boolean {
-		return this.boxes[0]?.gateway.release(fingerprint) ?? false
+		return this.boxes[0]?.gateway.releaseQuarantined(fingerprint) ?? false
 	}
 
 	/** Times at which targets ended, in order. */
@@ -123,7 +123,7 @@
 	async askFatal(route: string, forMs = DAY_MS): Promise<void> {
 		const until = performance.now() + forMs
 		for (let i = 0; performance.now() < until; i++) {
-			void this.boxes[i % BOXES]?.ask(`${route}x`, { id: `fatal-${i}`, body: FATAL })
+			void this.boxes[i % BOXES]?.sendRequest(`${route}x`, { id: `fatal-${i}`, body: FATAL })
 			await sleep(RETRY_MS)
 		}
 	}
@@ -135,10 +135,12 @@
 		for (let i = 0; performance.now() < until; i++) {
 			const box = this.boxes[(i * 3) % BOXES]
 			const at = performance.now()
-			void box?.ask(`${route}other`, { id: `other-${i}`, body: `body ${i}` }).then((answer) => {
-				const isLate = at > (this.ends[PROVED - 1] ?? Infinity) + CONTACT_MS
-				if (isLate && answer.status !== 200) lateFailures++
-			})
+			void box
+				?.sendRequest(`${route}other`, { id: `other-${i}`, body: `body ${i}` })
+				.then((answer) => {
+					const isLate = at > (this.ends[PROVED - 1] ?? Infinity) + CONTACT_MS
+					if (isLate && answer.status !== 200) lateFailures++
+				})
 			await sleep(RETRY_MS / 3)
 		}
 		await sleep(RETRY_MS)
@@ -152,11 +154,11 @@
 			crashAfterMs: 60,
 			downMs: 1_500,
 			workMs: 20,
-			headers: DIALECT.headers,
+			headers: TEST_DIALECT.headers,
 			onStarted: (address, bornAt) =>
 				void this.store.put(
 					`targets/${name}`,
-					JSON.stringify({ ...entryOf(name, address), bornAt }),
+					JSON.stringify({ ...targetEntryOf(name, address), bornAt }),
 				),
 		})
 	}
--- a/packages/gateway/src/lib/restoredAllowance.test.ts
+++ b/packages/gateway/src/lib/restoredAllowance.test.ts
@@ -1,7 +1,7 @@
 import type { MemoryStoreCopy } from '@stallwing/standins'
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { ACCOUNT, BOXES, MoneyFleet, START_MS, pass } from './testMoneyFleet.js'
+import { ACCOUNT, BOXES, BudgetTestFleet, CLAIM_ALL_MS, advance } from './testBudgetFleet.js'
 
 // Seen: beside configurations that went unheard, accounts could get more tokens than their budgets once the store had
 // come back from a copy that was some seconds old.
@@ -16,49 +16,61 @@
 const LARGE_BUDGET = 300_000
 const LOWERED_BUDGET = 120_000
 /** Randomised days and their seed; by hand, more and others. */
-const RUNS = Number(process.env['MONEY_RUNS'] ?? 150)
-const SEED = Number(process.env['MONEY_SEED'] ?? 20261203)
+const PROPERTY_RUNS = Number(process.env['MONEY_RUNS'] ?? 150)
+const PROPERTY_SEED = Number(process.env['MONEY_SEED'] ?? 20261203)
 const STEP_MS = 50
 const SEVEN_BOXES = Array.from({ length: 7 }, (_, index) => `box-${index + 1}`)
-const COPY_EACH_MS = 500
+const COPY_INTERVAL_MS = 500
 /** Copies that the store comes back from are younger than a window of draws. */
-const MOST_COPIES = 20
+const MAX_RESTORE_COPIES = 20
 /** Tokens that all boxes together are asked for in each step: the budget lasts 15 s. */
-const TOKENS_A_STEP = 100
-const AWAY_MS = 800
+const TOKENS_PER_STEP = 100
+const STORE_OUTAGE_MS = 800
 
 /** What happens around the return of the store. */
-interface Drill {
+interface RestoreScenario {
 	readonly name: string
 	/** Time after the start at which the copy is taken, in ms. */
-	readonly copyAt: number
+	readonly copyAtMs: number
 	/** Age of the copy when the store comes back from it, in ms. */
-	readonly ageMs: number
+	readonly copyAgeMs: number
 	/** Boxes that are killed as the store goes. */
 	readonly killed: readonly string[]
 	/** Boxes that the store turns away from before the loss on, until long after it. */
 	readonly cutOff: readonly string[]
 	/** Returns, the second one soon after the first and from the same copy. */
-	readonly returns: number
+	readonly restores: number
 }
 
-const USUAL: Drill = { name: '', copyAt: 3_000, ageMs: 5_000, killed: [], cutOff: [], returns: 1 }
-const DRILLS: readonly Drill[] = [
-	{ ...USUAL, name: 'all boxes live' },
-	{ ...USUAL, name: 'the copy is older than all draws', copyAt: 0 },
-	{ ...USUAL, name: 'one box is killed', killed: ['box-1'] },
-	{ ...USUAL, name: 'all boxes are killed', killed: BOXES },
-	{ ...USUAL, name: 'all are killed, the copy is older than all draws', copyAt: 0, killed: BOXES },
-	{ ...USUAL, name: 'one box is cut off', cutOff: ['box-2'] },
-	{ ...USUAL, name: 'two returns', returns: 2 },
-	{ ...USUAL, name: 'two returns, one box is killed', returns: 2, killed: ['box-3'] },
+const DEFAULT_SCENARIO: RestoreScenario = {
+	name: '',
+	copyAtMs: 3_000,
+	copyAgeMs: 5_000,
+	killed: [],
+	cutOff: [],
+	restores: 1,
+}
+const SCENARIOS: readonly RestoreScenario[] = [
+	{ ...DEFAULT_SCENARIO, name: 'all boxes live' },
+	{ ...DEFAULT_SCENARIO, name: 'the copy is older than all draws', copyAtMs: 0 },
+	{ ...DEFAULT_SCENARIO, name: 'one box is killed', killed: ['box-1'] },
+	{ ...DEFAULT_SCENARIO, name: 'all boxes are killed', killed: BOXES },
+	{
+		...DEFAULT_SCENARIO,
+		name: 'all are killed, the copy is older than all draws',
+		copyAtMs: 0,
+		killed: BOXES,
+	},
+	{ ...DEFAULT_SCENARIO, name: 'one box is cut off', cutOff: ['box-2'] },
+	{ ...DEFAULT_SCENARIO, name: 'two returns', restores: 2 },
+	{ ...DEFAULT_SCENARIO, name: 'two returns, one box is killed', restores: 2, killed: ['box-3'] },
 ]
 
 /**
  * Part of a large budget that is spent at least. Where nobody is left that knows what was drawn since the copy, all that
  * the copy gives to nobody is held back.
  */
-const LEAST_PARTS: Readonly<Record<string, number>> = {
+const MIN_SPENT_FRACTIONS: Readonly<Record<string, number>> = {
 	'all boxes live': 0.97,
 	'the copy is older than all draws': 0.97,
 	'one box is killed': 0.8,
@@ -70,87 +82,87 @@
 }
 
 /** One thing that happens, after a pause. */
-interface Happening {
+interface FleetEvent {
 	readonly pauseMs: number
 	readonly box: number
-	readonly kind: (typeof KINDS)[number]
+	readonly kind: (typeof EVENT_KINDS)[number]
 	readonly amount: number
 }
 
-const KINDS = [
+const EVENT_KINDS = [
 	...(['ask', 'ask', 'ask', 'ask', 'ask', 'ask', 'ask', 'ask'] as const),
 	...(['kill', 'stop', 'suspend', 'cut', 'heal', 'heal', 'storm', 'calm'] as const),
 	...(['restore', 'restore', 'lower', 'raise'] as const),
 ]
 
-const happening: fc.Arbitrary<Happening> = fc.record({
+const fleetEvent: fc.Arbitrary<FleetEvent> = fc.record({
 	pauseMs: fc.constantFrom(1, 5, 40, 200, 900, 2_500),
 	box: fc.nat({ max: BOXES.length - 1 }),
-	kind: fc.constantFrom(...KINDS),
+	kind: fc.constantFrom(...EVENT_KINDS),
 	amount: fc.integer({ min: 1, max: 40 }),
 })
 
 /** Copies of the store, one each half second. */
-class Copies {
+class StoreCopies {
 	private readonly copies: MemoryStoreCopy[] = []
 
-	constructor(private readonly fleet: MoneyFleet) {
+	constructor(private readonly fleet: BudgetTestFleet) {
 		this.copies.push(fleet.store.copy())
 	}
 
 	/** Lets time pass. */
-	async pass(ms: number): Promise<void> {
-		for (let left = ms; left > 0; left -= COPY_EACH_MS) {
-			await pass(this.fleet, Math.min(left, COPY_EACH_MS))
+	async advance(ms: number): Promise<void> {
+		for (let left = ms; left > 0; left -= COPY_INTERVAL_MS) {
+			await advance(this.fleet, Math.min(left, COPY_INTERVAL_MS))
 			this.copies.push(this.fleet.store.copy())
 		}
 	}
 
 	/** The store comes back from one of the last copies. */
 	restore(back: number): void {
-		const copy = this.copies.at(-Math.min(back, MOST_COPIES, this.copies.length))
+		const copy = this.copies.at(-Math.min(back, MAX_RESTORE_COPIES, this.copies.length))
 		if (copy) this.fleet.store.restore(copy)
 	}
 }
 
 /** Requests for some time, at the boxes in turn. */
-async function spendFor(fleet: MoneyFleet, ms: number): Promise<void> {
-	const tokens = (fleet.budget / BUDGET) * TOKENS_A_STEP
+async function spendEvenly(fleet: BudgetTestFleet, ms: number): Promise<void> {
+	const tokens = (fleet.budget / BUDGET) * TOKENS_PER_STEP
 	for (let passed = 0; passed < ms; passed += STEP_MS) {
 		const box = BOXES[(passed / STEP_MS) % BOXES.length] ?? BOXES[0]
-		void fleet.ask(box, tokens, 1)
-		await pass(fleet, STEP_MS)
+		void fleet.request(box, tokens, 1)
+		await advance(fleet, STEP_MS)
 	}
 }
 
-async function comeBack(
-	fleet: MoneyFleet,
+async function restoreStore(
+	fleet: BudgetTestFleet,
 	copy: MemoryStoreCopy,
-	{ cutOff, killed }: Drill,
+	{ cutOff, killed }: RestoreScenario,
 ): Promise<void> {
-	for (const box of BOXES) fleet.setCut(box, true)
+	for (const box of BOXES) fleet.setCutOff(box, true)
 	for (const box of killed) fleet.kill(box, 2_000)
-	await spendFor(fleet, AWAY_MS)
+	await spendEvenly(fleet, STORE_OUTAGE_MS)
 	fleet.store.restore(copy)
-	for (const box of BOXES) fleet.setCut(box, cutOff.includes(box))
+	for (const box of BOXES) fleet.setCutOff(box, cutOff.includes(box))
 }
 
 /** Tokens spent in all, of a budget that is asked for long beyond its end. */
-async function spentIn(drill: Drill, budget: number): Promise<number> {
-	const fleet = new MoneyFleet(budget, 0)
+async function tokensSpentIn(drill: RestoreScenario, budget: number): Promise<number> {
+	const fleet = new BudgetTestFleet(budget, 0)
 	const atStart = fleet.store.copy()
-	await pass(fleet, START_MS)
-	await spendFor(fleet, drill.copyAt)
-	const copy = drill.copyAt === 0 ? atStart : fleet.store.copy()
-	await spendFor(fleet, drill.ageMs - AWAY_MS)
-	for (const box of drill.cutOff) fleet.setCut(box, true)
-	for (let i = 0; i < drill.returns; i++) {
-		await comeBack(fleet, copy, drill)
-		await spendFor(fleet, 2_000)
+	await advance(fleet, CLAIM_ALL_MS)
+	await spendEvenly(fleet, drill.copyAtMs)
+	const copy = drill.copyAtMs === 0 ? atStart : fleet.store.copy()
+	await spendEvenly(fleet, drill.copyAgeMs - STORE_OUTAGE_MS)
+	for (const box of drill.cutOff) fleet.setCutOff(box, true)
+	for (let i = 0; i < drill.restores; i++) {
+		await restoreStore(fleet, copy, drill)
+		await spendEvenly(fleet, 2_000)
 	}
-	await spendFor(fleet, 4_000)
-	for (const box of BOXES) fleet.setCut(box, false)
-	await spendFor(fleet, 25_000)
+	await spendEvenly(fleet, 4_000)
+	for (const box of BOXES) fleet.setCutOff(box, false)
+	await spendEvenly(fleet, 25_000)
 	vi.clearAllTimers()
 	return fleet.spent
 }
@@ -161,8 +173,8 @@
 
 	it('gives no account more than its budget', async () => {
 		const over: string[] = []
-		for (const drill of DRILLS) {
-			const spent = await spentIn(drill, BUDGET)
+		for (const drill of SCENARIOS) {
+			const spent = await tokensSpentIn(drill, BUDGET)
 			if (spent > BUDGET) over.push(`${drill.name}: ${spent}`)
 		}
 		expect(over).toEqual([])
@@ -170,9 +182,9 @@
 
 	it('keeps what is not surely left of a large budget, and gives out the rest', async () => {
 		const wrong: string[] = []
-		for (const drill of DRILLS) {
-			const spent = await spentIn(drill, LARGE_BUDGET)
-			const least = (LEAST_PARTS[drill.name] ?? 1) * LARGE_BUDGET
+		for (const drill of SCENARIOS) {
+			const spent = await tokensSpentIn(drill, LARGE_BUDGET)
+			const least = (MIN_SPENT_FRACTIONS[drill.name] ?? 1) * LARGE_BUDGET
 			if (spent > LARGE_BUDGET || spent < least) wrong.push(`${drill.name}: ${spent}`)
 		}
 		expect(wrong).toEqual([])
@@ -186,21 +198,21 @@
 		'never lets the boxes together spend more than the budget: %s',
 		async (_name, drawing, boxes) => {
 			const days = fc.asyncProperty(
-				fc.array(happening, { minLength: 60, maxLength: 160 }),
+				fc.array(fleetEvent, { minLength: 60, maxLength: 160 }),
 				fc.nat({ max: 1_000 }),
 				async (happenings, fateSeed) => {
-					const fleet = new MoneyFleet(LARGE_BUDGET, fateSeed, drawing, true, {}, boxes)
-					const copies = new Copies(fleet)
-					await pass(fleet, START_MS)
+					const fleet = new BudgetTestFleet(LARGE_BUDGET, fateSeed, drawing, true, {}, boxes)
+					const copies = new StoreCopies(fleet)
+					await advance(fleet, CLAIM_ALL_MS)
 					let bound = LARGE_BUDGET
 					let version = 1
 					for (const { kind, box, amount, pauseMs } of happenings) {
 						const name = boxes[boxes === BOXES ? box : (box + amount) % boxes.length] ?? BOXES[0]
-						if (kind === 'ask') void fleet.ask(name, 200 * amount, 1)
+						if (kind === 'ask') void fleet.request(name, 200 * amount, 1)
 						else if (kind === 'kill') fleet.kill(name, 20 * amount)
 						else if (kind === 'stop') void fleet.stop(name)
 						else if (kind === 'suspend') fleet.suspend(name, 200 * amount)
-						else if (kind === 'cut' || kind === 'heal') fleet.setCut(name, kind === 'cut')
+						else if (kind === 'cut' || kind === 'heal') fleet.setCutOff(name, kind === 'cut')
 						else if (kind === 'restore') {
 							const killed = boxes === BOXES ? 0 : amount % boxes.length
 							for (let i = 0; i < killed; i++)
@@ -210,14 +222,14 @@
 							const budget = kind === 'lower' ? LOWERED_BUDGET : LARGE_BUDGET
 							fleet.setBudgets(++version, { [ACCOUNT]: budget })
 							bound = Math.max(budget, fleet.spent)
-						} else fleet.setStormy(kind === 'storm')
-						await copies.pass(pauseMs)
+						} else fleet.setStoreFaults(kind === 'storm')
+						await copies.advance(pauseMs)
 						expect(fleet.spent).toBeLessThanOrEqual(bound)
 					}
 					vi.clearAllTimers()
 				},
 			)
-			await fc.assert(days, { seed: SEED, numRuns: RUNS, endOnFailure: true })
+			await fc.assert(days, { seed: PROPERTY_SEED, numRuns: PROPERTY_RUNS, endOnFailure: true })
 		},
 	)
 })
--- a/packages/gateway/src/lib/restoredStore.test.ts
+++ b/packages/gateway/src/lib/restoredStore.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
-import { CONFIG_KEY, CONTACT_MS, CORDON_PREFIX, TestFleet, randomOf } from './testFleet.js'
+import { CONFIG_KEY, MAX_RECOVERY_MS, CORDON_PREFIX, TestFleet, seededRandom } from './testFleet.js'
 
 // Seen: the store came back from a copy that was some seconds old. Boxes went on handling requests by a configuration
 // that had been replaced: five newer ones were confirmed in the next eight seconds, and no box put one in force. Each
@@ -45,7 +45,7 @@
 	zones: Readonly<Record<string, number>>,
 	seed: number,
 ): Promise<TestFleet> {
-	const fleet = new TestFleet({ zones, watchersPerZone: 2, random: randomOf(seed) })
+	const fleet = new TestFleet({ zones, watchersPerZone: 2, random: seededRandom(seed) })
 	fleet.store.put(CONFIG_KEY, 'version 1')
 	for (const target of ['a', 'b', 'c']) fleet.store.put(`targets/${target}`, 'ready')
 	await vi.advanceTimersByTimeAsync(10_000 + 170 * seed)
@@ -63,7 +63,7 @@
 	lost()
 	await vi.advanceTimersByTimeAsync(5_000)
 	const boxes = fleet.members.map(({ box }) => box)
-	if (isNoticed) fleet.cut(boxes, () => false)
+	if (isNoticed) fleet.partition(boxes, () => false)
 	await vi.advanceTimersByTimeAsync(800)
 	fleet.store.restore(copy)
 	if (isOvertaken) writeOthers(fleet, 3 * LOST_WRITES)
@@ -112,7 +112,7 @@
 			await drill(fleet, one, () => fleet.store.put(CONFIG_KEY, 'version 2'))
 			await vi.advanceTimersByTimeAsync(300)
 			fleet.store.put(CONFIG_KEY, 'version 2')
-			await vi.advanceTimersByTimeAsync(CONTACT_MS)
+			await vi.advanceTimersByTimeAsync(MAX_RECOVERY_MS)
 			fleet.store.put(CONFIG_KEY, 'version 3')
 			const late = await boxesAfter(fleet, BOUND_MS, (box) => fleet.versionOf(box) === 'version 3')
 			const back = fleet.members.filter(({ box }) => {
@@ -158,7 +158,7 @@
 			}
 			fleet.store.put('targets/a', 'leaving')
 			fleet.store.remove('targets/b')
-			await vi.advanceTimersByTimeAsync(CONTACT_MS)
+			await vi.advanceTimersByTimeAsync(MAX_RECOVERY_MS)
 			fleet.store.put('targets/c', 'leaving')
 			const late = await boxesAfter(fleet, BOUND_MS, (box) => !fleet.uses(box, 'c'))
 			return [...new Set(used), ...late.map((box) => `${box} late`)]
@@ -180,7 +180,7 @@
 		await drill(fleet, usual, () => fleet.store.put(CONFIG_KEY, 'version 2'))
 		const before = fleet.store.calls.get('list') ?? 0
 		fleet.store.put(CONFIG_KEY, 'version 2')
-		await vi.advanceTimersByTimeAsync(CONTACT_MS)
+		await vi.advanceTimersByTimeAsync(MAX_RECOVERY_MS)
 		const lists = (fleet.store.calls.get('list') ?? 0) - before
 		fleet.store.put(CONFIG_KEY, 'version 3')
 		const late = await boxesAfter(fleet, BOUND_MS, (box) => fleet.versionOf(box) === 'version 3')
--- a/packages/gateway/src/lib/sendToTarget.test.ts
+++ b/packages/gateway/src/lib/sendToTarget.test.ts
@@ -2,11 +2,11 @@
 import type { AddressInfo } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
 import { ConnectionPool } from './ConnectionPool.js'
-import { sendToTarget, type AnswerHead } from './sendToTarget.js'
+import { sendToTarget, type ResponseHead } from './sendToTarget.js'
 
 /** What a call brought. */
 interface Outcome {
-	readonly head: AnswerHead | undefined
+	readonly head: ResponseHead | undefined
 	readonly body: string
 	readonly end: 'whole' | 'not-sent' | 'broken'
 }
@@ -37,7 +37,7 @@
 
 function call(pool: ConnectionPool): Promise<Outcome> {
 	return new Promise((resolve) => {
-		let head: AnswerHead | undefined
+		let head: ResponseHead | undefined
 		let body = ''
 		const headers = ['Host', 'x', 'Connection', 'keep-alive']
 		sendToTarget(
--- a/packages/gateway/src/lib/sendToTarget.ts
+++ b/packages/gateway/src/lib/sendToTarget.ts
@@ -12,7 +12,7 @@
 }
 
 /** Head of an answer of a target. */
-export interface AnswerHead {
+export interface ResponseHead {
 	readonly status: number
 	/** Names and values in turn, as they came. */
 	readonly rawHeaders: readonly string[]
@@ -32,11 +32,11 @@
 }
 
 /** What a target answers, as it comes. After `onEnd` or `onFailure` nothing else is called. */
-export interface AnswerListener {
+export interface ResponseListener {
 	/** Asked once a connection stands, just before the request leaves. False: it must not leave any more. */
 	maySend(): Promise<boolean>
 	/** False: this is not the answer to our request; the connection is dropped. */
-	onHead(head: AnswerHead): boolean
+	onHead(head: ResponseHead): boolean
 	onData(chunk: Buffer): void
 	/** The answer is whole. */
 	onEnd(): void
@@ -55,7 +55,7 @@
 export function sendToTarget(
 	pool: ConnectionPool,
 	message: TargetRequest,
-	listener: AnswerListener,
+	listener: ResponseListener,
 ): TargetCall {
 	const call = new PooledCall(pool, message, listener)
 	void call.start()
@@ -65,25 +65,25 @@
 class PooledCall implements TargetCall {
 	private socket: Socket | undefined
 	private request: ClientRequest | undefined
-	private answer: IncomingMessage | undefined
-	private over = false
-	private broken = false
+	private response: IncomingMessage | undefined
+	private hasEnded = false
+	private hasSocketError = false
 
 	constructor(
 		private readonly pool: ConnectionPool,
 		private readonly message: TargetRequest,
-		private readonly listener: AnswerListener,
+		private readonly listener: ResponseListener,
 	) {}
 
 	async start(): Promise<void> {
 		try {
 			this.socket = await this.pool.acquire()
 		} catch (error) {
-			this.fail('not-reached', describe(error))
+			this.fail('not-reached', describeFailure(error))
 			return
 		}
-		const maySend = !this.over && (await this.listener.maySend())
-		if (this.over || !maySend) {
+		const maySend = !this.hasEnded && (await this.listener.maySend())
+		if (this.hasEnded || !maySend) {
 			this.pool.release(this.socket, undefined)
 			this.socket = undefined
 			this.fail('withdrawn', 'no longer to be sent')
@@ -97,16 +97,16 @@
 	}
 
 	pause(): void {
-		this.answer?.pause()
+		this.response?.pause()
 	}
 
 	resume(): void {
-		this.answer?.resume()
+		this.response?.resume()
 	}
 
 	abort(): void {
-		if (this.over) return
-		this.over = true
+		if (this.hasEnded) return
+		this.hasEnded = true
 		this.request?.destroy()
 		if (this.request) this.socket?.destroy()
 	}
@@ -114,7 +114,7 @@
 	private send(socket: Socket): void {
 		// A reset ends an answer without a length just as a close does; only the error tells.
 		socket.prependOnceListener('error', () => {
-			this.broken = true
+			this.hasSocketError = true
 		})
 		const outgoing = request({
 			createConnection: () => socket,
@@ -125,15 +125,15 @@
 		// A request without an agent is taken as the last one of its connection; ours goes on.
 		outgoing.shouldKeepAlive = true
 		this.request = outgoing
-		outgoing.on('error', (error) => this.fail('broken', describe(error)))
+		outgoing.on('error', (error) => this.fail('broken', describeFailure(error)))
 		outgoing.on('close', () => this.fail('broken', 'connection closed'))
-		outgoing.on('response', (answer) => this.receive(answer))
+		outgoing.on('response', (answer) => this.handleResponse(answer))
 		outgoing.end(this.message.body)
 	}
 
-	private receive(answer: IncomingMessage): void {
-		if (this.over) return
-		this.answer = answer
+	private handleResponse(answer: IncomingMessage): void {
+		if (this.hasEnded) return
+		this.response = answer
 		const accepted = this.listener.onHead({
 			status: answer.statusCode ?? 0,
 			rawHeaders: answer.rawHeaders,
@@ -144,28 +144,28 @@
 			return
 		}
 		answer.on('data', (chunk: Buffer) => {
-			if (!this.over) this.listener.onData(chunk)
+			if (!this.hasEnded) this.listener.onData(chunk)
 		})
-		answer.on('error', (error) => this.fail('broken', describe(error)))
+		answer.on('error', (error) => this.fail('broken', describeFailure(error)))
 		answer.on('aborted', () => this.fail('broken', 'answer broken off'))
 		answer.on('end', () => this.finish(answer))
 	}
 
 	private finish(answer: IncomingMessage): void {
-		if (this.over) return
-		if (!answer.complete || this.broken) {
+		if (this.hasEnded) return
+		if (!answer.complete || this.hasSocketError) {
 			this.fail('broken', 'answer broken off')
 			return
 		}
-		this.over = true
-		this.recycle(answer)
+		this.hasEnded = true
+		this.releaseSocket(answer)
 		this.listener.onEnd()
 	}
 
-	private recycle(answer: IncomingMessage): void {
+	private releaseSocket(answer: IncomingMessage): void {
 		const socket = this.socket
 		if (!socket) return
-		if (!mayBeReused(answer) || !this.request?.writableFinished) {
+		if (!isReusable(answer) || !this.request?.writableFinished) {
 			socket.destroy()
 			return
 		}
@@ -173,20 +173,20 @@
 		socket.once('free', () => {
 			socket.removeAllListeners('error')
 			socket.on('error', () => socket.destroy())
-			this.pool.release(socket, idleSeconds(answer))
+			this.pool.release(socket, keepAliveSeconds(answer))
 		})
 	}
 
 	private fail(kind: TargetFailure['kind'], cause: string): void {
-		if (this.over) return
-		this.over = true
+		if (this.hasEnded) return
+		this.hasEnded = true
 		this.request?.destroy()
 		this.socket?.destroy()
 		this.listener.onFailure({ kind, cause })
 	}
 }
 
-function mayBeReused(answer: IncomingMessage): boolean {
+function isReusable(answer: IncomingMessage): boolean {
 	const connection = String(answer.headers.connection ?? '').toLowerCase()
 	if (connection.includes('close')) return false
 	if (answer.httpVersion === '1.0') return false
@@ -196,12 +196,12 @@
 	return framed || answer.statusCode === 204 || answer.statusCode === 304
 }
 
-function idleSeconds(answer: IncomingMessage): number | undefined {
+function keepAliveSeconds(answer: IncomingMessage): number | undefined {
 	const match = /timeout=(\d+)/.exec(String(answer.headers['keep-alive'] ?? ''))
 	return match ? Number(match[1]) : undefined
 }
 
-function describe(error: unknown): string {
+function describeFailure(error: unknown): string {
 	if (!(error instanceof Error)) return String(error)
 	return 'code' in error ? String(error.code) : error.message
 }
--- a/packages/gateway/src/lib/serveOperators.ts
+++ b/packages/gateway/src/lib/serveOperators.ts
@@ -7,7 +7,7 @@
 	/** A JSON document. */
 	readonly status: () => string
 	/** Lets a quarantined request run again; false where nothing is held against it. */
-	readonly release: (fingerprint: string) => boolean
+	readonly releaseQuarantined: (fingerprint: string) => boolean
 }
 
 /** Where `stallwing status` and `stallwing quarantine release` ask; all other paths show the metrics. */
@@ -17,15 +17,19 @@
 
 /** Serves metrics and status to operators. Resolves with the port. @public */
 export function serveOperators(address: ListenAddress, pages: OperatorPages): Promise<number> {
-	const server = createServer((message, response) => answer(message, response, pages))
+	const server = createServer((message, response) => handleRequest(message, response, pages))
 	return listenOn(server, address)
 }
 
-function answer(message: IncomingMessage, response: ServerResponse, pages: OperatorPages): void {
+function handleRequest(
+	message: IncomingMessage,
+	response: ServerResponse,
+	pages: OperatorPages,
+): void {
 	const url = new URL(message.url ?? '/', LOCAL_URL)
 	if (url.pathname === RELEASE_PATH) {
 		const isReleased =
-			message.method === 'POST' && pages.release(url.searchParams.get('request') ?? '')
+			message.method === 'POST' && pages.releaseQuarantined(url.searchParams.get('request') ?? '')
 		response.writeHead(isReleased ? 200 : 404, { 'Content-Type': 'application/json' })
 		response.end(JSON.stringify({ isReleased }))
 		return
--- a/packages/gateway/src/lib/targetNotices.test.ts
+++ b/packages/gateway/src/lib/targetNotices.test.ts
@@ -10,13 +10,13 @@
  */
 import { afterEach, describe, expect, it } from 'vitest'
 import {
-	BOXES,
-	DRAIN_MS,
-	GOOD,
-	LEAVING,
+	DEFAULT_BOX_COUNT,
+	MAX_DRAIN_DELAY_MS,
+	OK_ANSWER,
+	LEAVING_NOTICE,
 	NoticeFleet,
-	TARGETS,
-	TURNED_AWAY,
+	TARGET_COUNT,
+	BACKOFF_ANSWER,
 } from './testNoticeFleet.js'
 
 /** For how long requests are sent once targets speak: the time of a drain, and as long after it as it takes to see. */
@@ -32,32 +32,32 @@
 
 	it('keeps a box from targets that leave, whatever the answer and whatever the list says', async () => {
 		fleet = new NoticeFleet({
-			t0: { ...GOOD, notice: LEAVING },
-			t1: { ...GOOD, status: 503, notRun: true, notice: LEAVING },
-			t2: { ...GOOD, stream: true, notice: LEAVING },
-			t3: { ...GOOD, status: 500, notice: LEAVING },
+			t0: { ...OK_ANSWER, notice: LEAVING_NOTICE },
+			t1: { ...OK_ANSWER, status: 503, notRun: true, notice: LEAVING_NOTICE },
+			t2: { ...OK_ANSWER, stream: true, notice: LEAVING_NOTICE },
+			t3: { ...OK_ANSWER, status: 500, notice: LEAVING_NOTICE },
 		})
 		await fleet.start()
-		await fleet.ask(['/once/', '/again/', '/resume/'], LEAVING_MS)
-		expect(fleet.boxesToldToLeave).toBeGreaterThan(BOXES)
-		expect(fleet.sentAfterDrain).toBe(0)
-		expect(fleet.lateFailures(DRAIN_MS)).toBe(0)
+		await fleet.sendRequests(['/once/', '/again/', '/resume/'], LEAVING_MS)
+		expect(fleet.leavingPairs).toBeGreaterThan(DEFAULT_BOX_COUNT)
+		expect(fleet.requestsAfterDrain).toBe(0)
+		expect(fleet.failuresAfter(MAX_DRAIN_DELAY_MS)).toBe(0)
 	})
 
 	it('leaves targets alone for as long as they ask a box to', async () => {
-		fleet = new NoticeFleet({ t0: TURNED_AWAY, t1: TURNED_AWAY })
+		fleet = new NoticeFleet({ t0: BACKOFF_ANSWER, t1: BACKOFF_ANSWER })
 		await fleet.start()
-		await fleet.ask(['/once/', '/again/'], BACKING_OFF_MS)
-		expect(fleet.backoffs).toBeGreaterThan(BOXES)
-		expect(fleet.mostInABackoff).toBeLessThanOrEqual(MOST_IN_BACKOFF)
+		await fleet.sendRequests(['/once/', '/again/'], BACKING_OFF_MS)
+		expect(fleet.backoffCount).toBeGreaterThan(DEFAULT_BOX_COUNT)
+		expect(fleet.maxRequestsInBackoff).toBeLessThanOrEqual(MOST_IN_BACKOFF)
 	})
 
 	it('refuses at once while all targets ask for a backoff, and tells callers when the first one takes work again', async () => {
-		const all = Array.from({ length: TARGETS }, (_, i) => [`t${i}`, TURNED_AWAY] as const)
+		const all = Array.from({ length: TARGET_COUNT }, (_, i) => [`t${i}`, BACKOFF_ANSWER] as const)
 		fleet = new NoticeFleet(Object.fromEntries(all))
 		await fleet.start()
-		await fleet.ask(['/once/', '/again/'], BACKING_OFF_MS)
-		expect(fleet.mostInABackoff).toBeLessThanOrEqual(MOST_IN_BACKOFF)
-		expect(fleet.calledBackTooSoon).toBe(0)
+		await fleet.sendRequests(['/once/', '/again/'], BACKING_OFF_MS)
+		expect(fleet.maxRequestsInBackoff).toBeLessThanOrEqual(MOST_IN_BACKOFF)
+		expect(fleet.prematureRetryCount).toBe(0)
 	})
 })
--- a/packages/gateway/src/lib/targetRates.test.ts
+++ b/packages/gateway/src/lib/targetRates.test.ts
@@ -9,15 +9,15 @@
  * as old as the answer. With the rate read and divided among five of the seven boxes, this test counts 4 where it
  * counted 53; with the rate read, and 1.3 a second for each box, 37.
  */
-import { mostInWindow } from '@stallwing/core'
+import { maxCountInWindow } from '@stallwing/core'
 import { afterEach, describe, expect, it } from 'vitest'
-import { DIALECT } from './testBox.js'
-import { GOOD, NoticeFleet, TARGETS } from './testNoticeFleet.js'
+import { TEST_DIALECT } from './testBox.js'
+import { OK_ANSWER, NoticeFleet, TARGET_COUNT } from './testNoticeFleet.js'
 
 const BOXES = 7
 /** Requests a second that a target in need names. */
 const RATE = 1.3
-const NAMED = { ...GOOD, notice: { [DIALECT.headers.requestRate]: String(RATE) } }
+const NAMED = { ...OK_ANSWER, notice: { [TEST_DIALECT.headers.requestRate]: String(RATE) } }
 const WINDOW_MS = 4_000
 /** What a target in need bears in {@link WINDOW_MS}: half as much again as it names, and five requests. */
 const MOST_IN_A_WINDOW = Math.floor(1.5 * RATE * (WINDOW_MS / 1_000) + 5)
@@ -30,41 +30,41 @@
 
 /** The most requests of boxes that were told that reached a target in one window. */
 function mostIn(fleet: NoticeFleet, target: string): number {
-	return mostInWindow(fleet.timesAt(target, TOLD_MS), WINDOW_MS)
+	return maxCountInWindow(fleet.requestTimes(target, TOLD_MS), WINDOW_MS)
 }
 
 /** All targets name the rate. */
-const ALL = Object.fromEntries(Array.from({ length: TARGETS }, (_, i) => [`t${i}`, NAMED]))
+const ALL = Object.fromEntries(Array.from({ length: TARGET_COUNT }, (_, i) => [`t${i}`, NAMED]))
 
 describe('targets that name the requests a second that they take from all boxes', () => {
 	let fleet: NoticeFleet
 	afterEach(() => fleet.stop())
 
 	it('get no more of all boxes together, whatever the kind of request', async () => {
-		fleet = new NoticeFleet({ t0: NAMED, t1: NAMED }, { boxes: BOXES, areInTouch: true })
+		fleet = new NoticeFleet({ t0: NAMED, t1: NAMED }, { boxCount: BOXES, arePeersConnected: true })
 		await fleet.start()
-		await fleet.ask(ROUTES, ASKED_MS)
+		await fleet.sendRequests(ROUTES, ASKED_MS)
 		expect(mostIn(fleet, 't0')).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
 		expect(mostIn(fleet, 't1')).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
 	})
 
 	it('get no more where all of a service name a rate and none is left to take the rest', async () => {
-		fleet = new NoticeFleet(ALL, { boxes: BOXES, areInTouch: true })
+		fleet = new NoticeFleet(ALL, { boxCount: BOXES, arePeersConnected: true })
 		await fleet.start()
-		await fleet.ask(ROUTES, ASKED_MS)
+		await fleet.sendRequests(ROUTES, ASKED_MS)
 		for (const name of Object.keys(ALL))
 			expect(mostIn(fleet, name)).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
-		const served = fleet.served(TOLD_MS)
-		expect(served).toBeGreaterThan(0.7 * TARGETS * RATE * ((ASKED_MS - TOLD_MS) / 1_000))
-		expect(fleet.slowestRefusalMs).toBeLessThan(AT_ONCE_MS)
+		const served = fleet.successesAfter(TOLD_MS)
+		expect(served).toBeGreaterThan(0.7 * TARGET_COUNT * RATE * ((ASKED_MS - TOLD_MS) / 1_000))
+		expect(fleet.maxRefusalMs).toBeLessThan(AT_ONCE_MS)
 	})
 
 	it('are used by all boxes again once they name none any more', async () => {
-		fleet = new NoticeFleet(ALL, { boxes: BOXES, areInTouch: true })
+		fleet = new NoticeFleet(ALL, { boxCount: BOXES, arePeersConnected: true })
 		await fleet.start()
-		await fleet.ask(ROUTES, 2_000)
-		fleet.speak({})
-		await fleet.ask(ROUTES, 3_000)
-		expect(fleet.lateFailures(3_500)).toBe(0)
+		await fleet.sendRequests(ROUTES, 2_000)
+		fleet.setAnswers({})
+		await fleet.sendRequests(ROUTES, 3_000)
+		expect(fleet.failuresAfter(3_500)).toBe(0)
 	})
 })
--- a/packages/gateway/src/lib/testBox.ts
+++ b/packages/gateway/src/lib/testBox.ts
@@ -22,9 +22,9 @@
 import { Gateway } from './Gateway.js'
 import { sleep } from './sleep.js'
 
-export const DIALECT: Dialect = {
+export const TEST_DIALECT: Dialect = {
 	headers: PLAIN_HEADERS,
-	fleetHeaders: new Set([
+	reservedHeaders: new Set([
 		'authorization',
 		'account',
 		'expected-target',
@@ -34,16 +34,21 @@
 	]),
 	ownHeader: PLAIN_OWN_HEADER,
 	unreadHeaders: new Set(['own-instance']),
-	lowestRank: 9,
+	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
-	startLimits: { headerBytes: 16_384, bodyBytes: 1_000, headerMs: 5_000, idleMs: 5_000 },
+	initialLimits: {
+		maxHeaderBytes: 16_384,
+		maxBodyBytes: 1_000,
+		headerTimeoutMs: 5_000,
+		idleTimeoutMs: 5_000,
+	},
 	readWork: (header) => {
 		const tokens = Number(header('tokens') ?? 0)
 		return E.right({ inputTokens: tokens, maxOutputTokens: 0, parts: [] })
 	},
 	readKey: (header) => header('authorization'),
 	readLoad: () => undefined,
-	statusOf: (kind) => STATUS[kind],
+	statusFor: (kind) => STATUS[kind],
 }
 
 const STATUS = {
@@ -68,17 +73,17 @@
 
 const SERVICE = brandId<ServiceName>('service')
 
-export function configOf(version: number): TrafficConfig {
+export function trafficConfigOf(version: number): TrafficConfig {
 	const route = {
 		host: 'a.example',
 		timeoutMs: 20_000,
-		aimMs: 1_000,
-		pauseAimMs: undefined,
+		latencyGoalMs: 1_000,
+		eventGapGoalMs: undefined,
 		rank: 0,
 		shares: [{ service: SERVICE, weight: 1 }],
 		maxAttempts: 2,
-		open: false,
-		statesWork: false,
+		isPublic: false,
+		requiresDeclaredWork: false,
 		regions: undefined,
 	}
 	return {
@@ -115,7 +120,12 @@
 				regions: undefined,
 			},
 		],
-		limits: { headerBytes: 16_384, bodyBytes: 1_000, headerMs: 5_000, idleMs: 5_000 },
+		limits: {
+			maxHeaderBytes: 16_384,
+			maxBodyBytes: 1_000,
+			headerTimeoutMs: 5_000,
+			idleTimeoutMs: 5_000,
+		},
 	}
 }
 
@@ -124,11 +134,11 @@
 }
 
 /** A caller's view of an answer. */
-export interface Answer {
+export interface CallerResponse {
 	readonly status: number
 	readonly headers: IncomingMessage['headers']
 	readonly body: string
-	readonly whole: boolean
+	readonly isComplete: boolean
 }
 
 export type TargetHandler = (
@@ -140,16 +150,20 @@
 /** One gateway in this process, a store in memory, and targets on loopback. */
 export class TestBox {
 	/** What happens to calls to a store of its own. */
-	fate: CallFate = 'served'
+	storeFate: CallFate = 'served'
 	/** For how long its machine has been suspended so far, in ms. */
 	suspendedMs = 0
 	readonly store: MemoryStore
-	readonly logged: LogEvent[] = []
-	private onLogged: (event: LogEvent) => void = () => undefined
-	readonly seen: { target: string; headers: IncomingMessage['headers']; body: string }[] = []
+	readonly logEvents: LogEvent[] = []
+	private onLogEvent: (event: LogEvent) => void = () => undefined
+	readonly receivedRequests: {
+		addTarget: string
+		headers: IncomingMessage['headers']
+		body: string
+	}[] = []
 	private readonly servers: Server[] = []
 	/** Connections that targets took. */
-	readonly sockets = new Set<Socket>()
+	readonly targetSockets = new Set<Socket>()
 	private port = 0
 	private readinessPort = 0
 	readonly gateway: Gateway
@@ -161,7 +175,7 @@
 		private readonly peersPort = 0,
 	) {
 		this.store =
-			store ?? new MemoryStore({ now: () => performance.now(), sleep, fate: () => this.fate })
+			store ?? new MemoryStore({ now: () => performance.now(), sleep, fate: () => this.storeFate })
 		this.gateway = this.makeGateway(name)
 	}
 
@@ -180,7 +194,7 @@
 			store: this.store.connection(name),
 			isFirstStart: true,
 			storeReadsPerSecond: 2_000,
-			documents: {
+			storeLayout: {
 				configPrefix: 'config/',
 				configKey: 'config/now',
 				cordonPrefix: 'config/cordon/',
@@ -194,19 +208,19 @@
 				readTarget: ({ value, revision }) =>
 					E.right({ ...(JSON.parse(value.toString()) as TargetEntry), revision }),
 			},
-			dialect: DIALECT,
-			repeatLimits: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
+			dialect: TEST_DIALECT,
+			retryLimits: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
 			coldLimits: { overrun: 1.5, tolerance: 5 },
-			configurationBoundMs: 2_000,
+			configurationPropagationLimitMs: 2_000,
 			contactMs: 3_000,
-			graceMs: 8_000,
+			shutdownGraceMs: 8_000,
 			metrics: new Metrics(),
 			log: (event) => {
-				this.logged.push(event)
-				this.onLogged(event)
+				this.logEvents.push(event)
+				this.onLogEvent(event)
 			},
 			now: () => performance.now(),
-			worldNow: () => performance.now() + this.suspendedMs,
+			suspendAwareNow: () => performance.now() + this.suspendedMs,
 			wallTime: () => Date.now(),
 			aliveMs: () => 1_000,
 			random: () => 0.5,
@@ -220,7 +234,7 @@
 	}
 
 	configure(version = 1): void {
-		this.store.put('config/now', JSON.stringify(configOf(version)))
+		this.store.put('config/now', JSON.stringify(trafficConfigOf(version)))
 	}
 
 	/** Starts a target; the store lists it. */
@@ -229,28 +243,28 @@
 			let body = ''
 			message.on('data', (chunk: Buffer) => (body += chunk.toString()))
 			message.on('end', () => {
-				this.seen.push({ target: id, headers: message.headers, body })
+				this.receivedRequests.push({ addTarget: id, headers: message.headers, body })
 				response.setHeader('request-id', message.headers['request-id'] ?? '')
 				response.setHeader('target-mark', id)
 				handler(message, response, body)
 			})
 		})
 		this.servers.push(server)
-		server.on('connection', (socket: Socket) => this.sockets.add(socket))
+		server.on('connection', (socket: Socket) => this.targetSockets.add(socket))
 		await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
-		this.list(id, `127.0.0.1:${(server.address() as AddressInfo).port}`, leaving)
+		this.listTarget(id, `127.0.0.1:${(server.address() as AddressInfo).port}`, leaving)
 	}
 
-	list(id: string, address: string, leaving: boolean): void {
-		const entry = entryOf(id, address, leaving)
+	listTarget(id: string, address: string, leaving: boolean): void {
+		const entry = targetEntryOf(id, address, leaving)
 		this.store.put(`targets/${id}`, JSON.stringify(entry))
 	}
 	/** Waits until the box says that it is ready. */
-	async ready(): Promise<void> {
-		while ((await this.readiness()) !== 200) await sleep(10)
+	async waitUntilReady(): Promise<void> {
+		while ((await this.readinessStatus()) !== 200) await sleep(10)
 	}
 
-	readiness(): Promise<number> {
+	readinessStatus(): Promise<number> {
 		return new Promise((resolve) => {
 			const outgoing = request({ port: this.readinessPort, path: '/' }, (answer) => {
 				answer.resume()
@@ -262,7 +276,7 @@
 	}
 
 	/** Asks as a caller. `onEvent` is called for each piece of the answer. */
-	ask(path: string, options: AskOptions = {}): Promise<Answer> {
+	sendRequest(path: string, options: SendOptions = {}): Promise<CallerResponse> {
 		return new Promise((resolve) => {
 			const outgoing = request({
 				port: this.port,
@@ -275,11 +289,16 @@
 					...options.headers,
 				},
 			})
-			outgoing.on('error', () => resolve({ status: 0, headers: {}, body: '', whole: false }))
+			outgoing.on('error', () => resolve({ status: 0, headers: {}, body: '', isComplete: false }))
 			outgoing.on('response', (answer) => {
 				let body = ''
 				const done = (whole: boolean) =>
-					resolve({ status: answer.statusCode ?? 0, headers: answer.headers, body, whole })
+					resolve({
+						status: answer.statusCode ?? 0,
+						headers: answer.headers,
+						body,
+						isComplete: whole,
+					})
 				answer.on('data', (chunk: Buffer) => {
 					body += chunk.toString()
 					options.onEvent?.(() => outgoing.destroy())
@@ -292,7 +311,7 @@
 	}
 
 	/** Asks and hangs up at once, while this process is busy and reads neither. */
-	async askAndLeave(id: string): Promise<void> {
+	async sendAndDisconnect(id: string): Promise<void> {
 		const socket = connect({ port: this.port, host: '127.0.0.1' })
 		await new Promise<void>((resolve) => socket.once('connect', resolve))
 		// The gateway takes the connection before it falls behind.
@@ -300,21 +319,21 @@
 		const head = `GET /again/x HTTP/1.1\r\nHost: a.example\r\nrequest-id: ${id}\r\n`
 		socket.write(`${head}authorization: key\r\n\r\n`)
 		socket.destroy()
-		const until = performance.now() + BUSY_MS
+		const until = performance.now() + BLOCKED_MS
 		while (performance.now() < until);
 	}
 
 	/** Asks and hangs up once a target is chosen, while this process is busy: the target takes the connection. */
-	async askAndLeaveWhenChosen(id: string): Promise<void> {
+	async sendAndDisconnectWhenTargetChosen(id: string): Promise<void> {
 		const socket = connect({ port: this.port, host: '127.0.0.1' })
 		await new Promise<void>((resolve) => socket.once('connect', resolve))
 		const chosen = new Promise<void>((resolve) => {
-			this.onLogged = (event) => {
+			this.onLogEvent = (event) => {
 				if (event.name !== 'target-chosen') return
-				this.onLogged = () => undefined
+				this.onLogEvent = () => undefined
 				socket.destroy()
 				process.nextTick(() => {
-					const until = performance.now() + BUSY_MS
+					const until = performance.now() + BLOCKED_MS
 					while (performance.now() < until);
 					resolve()
 				})
@@ -332,7 +351,7 @@
 }
 
 /** An entry of the list of targets. */
-export function entryOf(id: string, address: string, leaving = false): TargetEntry {
+export function targetEntryOf(id: string, address: string, leaving = false): TargetEntry {
 	return {
 		name: brandId<TargetName>(id),
 		service: SERVICE,
@@ -346,7 +365,7 @@
 	}
 }
 
-export interface AskOptions {
+export interface SendOptions {
 	readonly id?: string
 	readonly headers?: Record<string, string>
 	readonly body?: string
@@ -361,7 +380,7 @@
 }
 
 /** Time for which a test keeps its process from reading, in ms. */
-const BUSY_MS = 120
+const BLOCKED_MS = 120
 /** Regions of the zones of the targets. */
 const REGIONS: Readonly<Record<string, RegionName>> = {
 	z1: brandId<RegionName>('north'),
--- a/packages/gateway/src/lib/testFleet.ts
+++ b/packages/gateway/src/lib/testFleet.ts
@@ -1,5 +1,5 @@
 import {
-	TargetBoard,
+	TargetRegistry,
 	brandId,
 	watchersFor,
 	type BoxName,
@@ -13,8 +13,8 @@
 import { MemoryStore } from '@stallwing/standins'
 import {
 	PrefixFollower,
-	type FollowedStore,
-	type FollowerOptions,
+	type WatchableStore,
+	type PrefixFollowerOptions,
 	type KeyValueStore,
 	type StoreFault,
 } from '@stallwing/store'
@@ -24,20 +24,20 @@
 import type { FeedPeers } from './PeerFeeds.js'
 import { TargetDirectory } from './TargetDirectory.js'
 import { TrafficDirectory } from './TrafficDirectory.js'
-import { watchMsFor } from './watchMsFor.js'
+import { watchDurationMs } from './watchDurationMs.js'
 import { sleep } from './sleep.js'
 
 /** Time without an answer after which a short call to the store is given up, in ms. */
-const SHORT_CALL_MS = 400
+const STORE_CALL_TIMEOUT_MS = 400
 /** Time beyond its wait after which a watch or a call to another box is given up, in ms. */
 const WATCH_GRACE_MS = 400
 const PEER_GRACE_MS = 300
-const PEER_ANSWER_MS = 3
+const PEER_LATENCY_MS = 3
 const WATCH_POLL_MS = 100
 /** Boxes start within this time of each other, so that their watches do not go in step, in ms. */
 const START_SPREAD_MS = 3_500
 /** Time after the end of a cut from which a box must know what it missed, in ms. */
-export const CONTACT_MS = 3_000
+export const MAX_RECOVERY_MS = 3_000
 const SERVICE = brandId<ServiceName>('service')
 /** Zone of the targets whose names do not say another. */
 const ZONE = brandId<ZoneName>('zone')
@@ -63,17 +63,17 @@
 	readonly store = new MemoryStore({ now: () => Date.now(), sleep })
 	readonly members: readonly FleetMember[]
 	/** Lines about cordons, of all boxes. */
-	readonly logged: LogEvent[] = []
+	readonly cordonEvents: LogEvent[] = []
 	/** Configurations that a box put in force, in order. */
-	private readonly inForce = new Map<string, string[]>()
-	private readonly boards = new Map<string, TargetBoard>()
+	private readonly appliedVersions = new Map<string, string[]>()
+	private readonly boards = new Map<string, TargetRegistry>()
 	private readonly relays = new Map<string, FeedRelay>()
 	private readonly followers = new Map<string, PrefixFollower[]>()
 	private readonly timers: NodeJS.Timeout[] = []
-	private withoutStore: ReadonlySet<string> = new Set()
-	private areApart: (a: string, b: string) => boolean = () => false
+	private boxesWithoutStore: ReadonlySet<string> = new Set()
+	private areDisconnected: (a: string, b: string) => boolean = () => false
 	/** Raised whenever a cut begins or ends. */
-	private cuts = 0
+	private partitionChanges = 0
 
 	constructor(private readonly options: TestFleetOptions) {
 		this.members = Object.entries(options.zones).flatMap(([zone, count]) =>
@@ -100,20 +100,20 @@
 		for (const follower of this.followers.get(box) ?? []) follower.stop()
 		this.relays.get(box)?.stop()
 		this.followers.delete(box)
-		this.inForce.delete(box)
+		this.appliedVersions.delete(box)
 		const member = this.members.find((known) => known.box === box)
 		if (member) this.start(member)
 	}
 
 	/** Cuts boxes off from the store, and pairs of boxes from each other. */
-	cut(boxes: readonly string[], areApart: (a: string, b: string) => boolean): void {
-		this.withoutStore = new Set(boxes)
-		this.areApart = areApart
-		this.cuts++
+	partition(boxes: readonly string[], areApart: (a: string, b: string) => boolean): void {
+		this.boxesWithoutStore = new Set(boxes)
+		this.areDisconnected = areApart
+		this.partitionChanges++
 	}
 
 	heal(): void {
-		this.cut([], () => false)
+		this.partition([], () => false)
 	}
 
 	/** True where a box would send a request to this target. */
@@ -126,7 +126,7 @@
 				work: undefined,
 				tried: new Set(),
 				isFull: (name) => name !== target,
-				isConnected: () => true,
+				hasIdleConnection: () => true,
 				mayRunIn: () => true,
 			},
 			Date.now(),
@@ -136,26 +136,26 @@
 
 	/** The configuration that a box goes by. */
 	versionOf(box: string): string | undefined {
-		return this.inForce.get(box)?.at(-1)
+		return this.appliedVersions.get(box)?.at(-1)
 	}
 
 	/** All configurations that a box went by, in order. */
 	versionsOf(box: string): readonly string[] {
-		return this.inForce.get(box) ?? []
+		return this.appliedVersions.get(box) ?? []
 	}
 
 	private start(member: FleetMember): void {
 		const { box } = member
 		const relay = this.relayOf(member)
-		const board = new TargetBoard()
+		const board = new TargetRegistry()
 		const directory = new TargetDirectory({
-			board,
+			registry: board,
 			readTarget: ({ key, value, revision }) =>
 				E.right({
-					name: brandId<TargetName>(nameIn(key)),
+					name: brandId<TargetName>(targetNameOf(key)),
 					service: SERVICE,
 					address: 'unused:1',
-					zone: zoneIn(key),
+					zone: zoneOf(key),
 					slots: 1,
 					leaving: value.toString('utf8') !== 'ready',
 					coldMs: 0,
@@ -164,10 +164,10 @@
 				}),
 			onDropped: () => undefined,
 			onEnded: () => undefined,
-			worldNow: () => Date.now(),
+			suspendAwareNow: () => Date.now(),
 			wallTime: () => Date.now(),
-			listAgeMs: () => relay.ageMs('targets/'),
-			answeredMs: () => relay.answeredMs('targets/'),
+			listAgeMs: () => relay.confirmationAgeMs('targets/'),
+			storeAvailableMs: () => relay.storeAvailableMs('targets/'),
 			now: () => Date.now(),
 			log: () => undefined,
 		})
@@ -176,10 +176,10 @@
 		this.timers.push(setInterval(() => directory.maintain(), 250))
 		const cordons = new CordonDirectory({
 			prefix: CORDON_PREFIX,
-			board,
-			listAgeMs: () => relay.ageMs('config/'),
+			registry: board,
+			listAgeMs: () => relay.confirmationAgeMs('config/'),
 			now: () => Date.now(),
-			log: (event) => this.logged.push(event),
+			log: (event) => this.cordonEvents.push(event),
 		})
 		this.timers.push(setInterval(() => cordons.maintain(), 250))
 		const traffic = new TrafficDirectory({
@@ -188,20 +188,20 @@
 			onTraffic: ({ index }) => {
 				const [service] = index.config.services
 				const text = service?.name ?? ''
-				this.inForce.set(box, [...this.versionsOf(box), text])
+				this.appliedVersions.set(box, [...this.versionsOf(box), text])
 			},
 			now: () => Date.now(),
 			log: () => undefined,
 		})
 		this.follow(box, relay, 'config/', (items, at) => {
-			cordons.takeItems(items, at)
-			traffic.takeItems(items)
+			cordons.applyItems(items, at)
+			traffic.applyItems(items)
 		})
 		this.follow(
 			box,
 			relay,
 			'targets/',
-			(items, at) => directory.takeItems(items, at),
+			(items, at) => directory.applyItems(items, at),
 			(contact) => directory.noteContact(contact),
 		)
 	}
@@ -212,12 +212,12 @@
 			store: this.storeOf(member.box),
 			peers: this.peersOf(member.box),
 			isWatcher: () => this.isWatcher(member),
-			isServing: () => this.members.some((other) => !this.isWatcher(other)),
-			isPlaced: () => true,
-			watchers: () => watchers,
-			boundMs: 2_000,
+			hasDependentBoxes: () => this.members.some((other) => !this.isWatcher(other)),
+			isFleetKnown: () => true,
+			watcherAddresses: () => watchers,
+			propagationLimitMs: 2_000,
 			storeReadsPerSecond: 2_000,
-			boxes: () => this.members.length,
+			fleetSize: () => this.members.length,
 			now: () => Date.now(),
 			random: this.options.random,
 			sleep,
@@ -242,12 +242,12 @@
 		box: string,
 		relay: FeedRelay,
 		prefix: string,
-		onItems: FollowerOptions['onItems'],
-		onContact: FollowerOptions['onContact'] = () => undefined,
+		onItems: PrefixFollowerOptions['onItems'],
+		onContact: PrefixFollowerOptions['onContact'] = () => undefined,
 	): void {
 		const follower = new PrefixFollower(relay, {
 			prefix,
-			waitMs: watchMsFor(CONTACT_MS),
+			waitMs: watchDurationMs(MAX_RECOVERY_MS),
 			retryMs: 150,
 			onItems,
 			onContact,
@@ -257,18 +257,18 @@
 		void follower.run()
 	}
 
-	private storeOf(box: string): FollowedStore & Pick<KeyValueStore, 'era' | 'ping'> {
+	private storeOf(box: string): WatchableStore & Pick<KeyValueStore, 'era' | 'ping'> {
 		const store = this.store.connect(box)
 		return {
 			get era() {
 				return store.era
 			},
-			ping: () => this.shortCall(box, () => store.ping(), false),
-			list: (prefix) => this.shortCall(box, () => store.list(prefix), E.left(NO_ANSWER)),
+			ping: () => this.callStore(box, () => store.ping(), false),
+			list: (prefix) => this.callStore(box, () => store.list(prefix), E.left(NO_ANSWER)),
 			watch: async (prefix, after, waitMs) => {
 				const began = Date.now()
-				const cuts = this.cuts
-				while (this.cuts === cuts && !this.withoutStore.has(box)) {
+				const cuts = this.partitionChanges
+				while (this.partitionChanges === cuts && !this.boxesWithoutStore.has(box)) {
 					const told = await store.watch(prefix, after, 0)
 					if (E.isLeft(told) || told.right.length > 0) return told
 					if (Date.now() >= began + waitMs) return told
@@ -280,22 +280,23 @@
 		}
 	}
 
-	private async shortCall<T>(box: string, call: () => Promise<T>, none: T): Promise<T> {
-		if (!this.withoutStore.has(box)) return call()
-		await sleep(SHORT_CALL_MS)
+	private async callStore<T>(box: string, call: () => Promise<T>, none: T): Promise<T> {
+		if (!this.boxesWithoutStore.has(box)) return call()
+		await sleep(STORE_CALL_TIMEOUT_MS)
 		return none
 	}
 
 	private peersOf(box: string): FeedPeers {
 		return {
 			changes: async (address, prefix, after, waitMs) => {
-				const cuts = this.cuts
+				const cuts = this.partitionChanges
 				const began = Date.now()
-				await sleep(PEER_ANSWER_MS)
-				const answer = this.areApart(box, address)
+				await sleep(PEER_LATENCY_MS)
+				const answer = this.areDisconnected(box, address)
 					? undefined
-					: await this.relays.get(address)?.answer(prefix, after, waitMs)
-				if (answer && (cuts === this.cuts || !this.areApart(box, address))) return answer
+					: await this.relays.get(address)?.handleRequest(prefix, after, waitMs)
+				if (answer && (cuts === this.partitionChanges || !this.areDisconnected(box, address)))
+					return answer
 				await sleep(Math.max(0, began + waitMs + PEER_GRACE_MS - Date.now()))
 				return undefined
 			},
@@ -304,13 +305,13 @@
 }
 
 /** Name of the target that a key lists. */
-function nameIn(key: string): string {
+function targetNameOf(key: string): string {
 	return key.slice(key.indexOf('/') + 1)
 }
 
 /** Zone of the target that a key lists: `a` lies in the usual one, `east.a` in `east`. */
-function zoneIn(key: string): ZoneName {
-	const [zone, name] = nameIn(key).split('.')
+function zoneOf(key: string): ZoneName {
+	const [zone, name] = targetNameOf(key).split('.')
 	return name === undefined ? ZONE : brandId<ZoneName>(zone ?? '')
 }
 
@@ -323,7 +324,7 @@
 		routes: [],
 		services: [{ name, maxConnections: 1, tokensPerEvent: undefined, coldStart: undefined }],
 		accounts: undefined,
-		limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 },
+		limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 	}
 }
 
@@ -335,7 +336,7 @@
 }
 
 /** Numbers from 0 to 1, the same for each seed. */
-export function randomOf(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
 	let state = seed * 7_919 + 13
 	return () => {
 		state = (state * 1_103_515_245 + 12_345) & 0x7fffffff
--- a/packages/gateway/src/lib/testNoticeFleet.ts
+++ b/packages/gateway/src/lib/testNoticeFleet.ts
@@ -1,29 +1,37 @@
 import { MemoryStore, NotifyingTarget, type NotifyingAnswer } from '@stallwing/standins'
 import { freePort } from './freePort.js'
 import { sleep } from './sleep.js'
-import { DIALECT, TestBox, configOf, entryOf, type Answer } from './testBox.js'
+import {
+	TEST_DIALECT,
+	TestBox,
+	trafficConfigOf,
+	targetEntryOf,
+	type CallerResponse,
+} from './testBox.js'
 
 /** Boxes of a {@link NoticeFleet}. */
-export const BOXES = 3
+export const DEFAULT_BOX_COUNT = 3
 /** Its targets, which are named `t0`, `t1` and so on. */
-export const TARGETS = 6
+export const TARGET_COUNT = 6
 /** Pause between two requests, in ms. */
-const PAUSE_MS = 12
+const REQUEST_INTERVAL_MS = 12
 /** Time that a request takes, in ms: each box has some under way, so that it uses several targets. */
-const WORK_MS = 100
+const REQUEST_DURATION_MS = 100
 /** Time after the word of a target that it leaves in which a box may still send there, in ms. */
-export const DRAIN_MS = 2_000
-/** Time for which {@link TURNED_AWAY} asks to be left alone, in ms. */
+export const MAX_DRAIN_DELAY_MS = 2_000
+/** Time for which {@link BACKOFF_ANSWER} asks to be left alone, in ms. */
 export const BACKOFF_MS = 1_500
 /** Time after such a word in which what was on its way may still arrive, in ms. */
-const UNDER_WAY_MS = 500
+const IN_FLIGHT_MS = 500
 
 /** An answer without a word. */
-export const GOOD: NotifyingAnswer = { status: 200, notRun: false, stream: false, notice: {} }
+export const OK_ANSWER: NotifyingAnswer = { status: 200, notRun: false, stream: false, notice: {} }
 /** The word of a target that it leaves. */
-export const LEAVING = { [DIALECT.headers.leaving.header]: DIALECT.headers.leaving.value }
+export const LEAVING_NOTICE = {
+	[TEST_DIALECT.headers.leaving.header]: TEST_DIALECT.headers.leaving.value,
+}
 /** A refusal that asks for a backoff. */
-export const TURNED_AWAY: NotifyingAnswer = {
+export const BACKOFF_ANSWER: NotifyingAnswer = {
 	status: 503,
 	notRun: true,
 	stream: false,
@@ -31,19 +39,19 @@
 }
 
 /** A request of a caller, and what became of it. */
-interface Asked {
+interface SentRequest {
 	readonly box: string
-	readonly at: number
+	readonly sentAt: number
 	readonly answeredAt: number
-	readonly answer: Answer
+	readonly response: CallerResponse
 }
 
 /** What a {@link NoticeFleet} is made of. */
 export interface NoticeFleetOptions {
-	/** Number of boxes; {@link BOXES} where it is not said. */
-	readonly boxes?: number
+	/** Number of boxes; {@link DEFAULT_BOX_COUNT} where it is not said. */
+	readonly boxCount?: number
 	/** Boxes hear each other, and have known each other for long. */
-	readonly areInTouch?: boolean
+	readonly arePeersConnected?: boolean
 }
 
 /** Boxes over one store, and targets that the store lists as ready all the time. */
@@ -52,35 +60,35 @@
 	private readonly store = new MemoryStore({ now: () => performance.now(), sleep })
 	private boxes: readonly TestBox[] = []
 	private targets: readonly NotifyingTarget[] = []
-	private asked: Asked[] = []
-	private spokeAt = Infinity
+	private sentRequests: SentRequest[] = []
+	private notifiedSince = Infinity
 
 	/** `spoken`: what targets answer once they speak; the others answer well. */
 	constructor(
-		private spoken: Readonly<Record<string, NotifyingAnswer>>,
+		private answers: Readonly<Record<string, NotifyingAnswer>>,
 		private readonly options: NoticeFleetOptions = {},
 	) {
-		this.boxCount = options.boxes ?? BOXES
+		this.boxCount = options.boxCount ?? DEFAULT_BOX_COUNT
 	}
 
 	async start(): Promise<void> {
-		this.store.put('config/now', JSON.stringify(configOf(1)))
-		this.targets = Array.from({ length: TARGETS }, (_, i) => this.makeTarget(`t${i}`))
+		this.store.put('config/now', JSON.stringify(trafficConfigOf(1)))
+		this.targets = Array.from({ length: TARGET_COUNT }, (_, i) => this.makeTarget(`t${i}`))
 		for (const [i, target] of this.targets.entries()) {
-			const entry = entryOf(`t${i}`, await target.start())
+			const entry = targetEntryOf(`t${i}`, await target.start())
 			this.store.put(`targets/t${i}`, JSON.stringify(entry))
 		}
 		this.boxes = await Promise.all(
 			Array.from({ length: this.boxCount }, (_, i) => this.makeBox(`box-${i}`)),
 		)
 		await Promise.all(this.boxes.map((box) => box.start()))
-		await Promise.all(this.boxes.map((box) => box.ready()))
-		this.spokeAt = performance.now()
+		await Promise.all(this.boxes.map((box) => box.waitUntilReady()))
+		this.notifiedSince = performance.now()
 	}
 
 	/** From now on targets answer so. */
-	speak(spoken: Readonly<Record<string, NotifyingAnswer>>): void {
-		this.spoken = spoken
+	setAnswers(spoken: Readonly<Record<string, NotifyingAnswer>>): void {
+		this.answers = spoken
 	}
 
 	async stop(): Promise<void> {
@@ -89,50 +97,58 @@
 	}
 
 	/** Callers ask all boxes in turn; a request's id names the box. */
-	async ask(routes: readonly string[], forMs: number): Promise<void> {
+	async sendRequests(routes: readonly string[], forMs: number): Promise<void> {
 		const until = performance.now() + forMs
 		const answers: Promise<void>[] = []
 		for (let i = 0; performance.now() < until; i++) {
 			const box = i % this.boxCount
 			const route = routes[Math.floor(i / this.boxCount) % routes.length] ?? ''
-			answers.push(this.askOne(box, `${route}x`, `box-${box} ${i}`))
-			await sleep(PAUSE_MS)
+			answers.push(this.sendOne(box, `${route}x`, `box-${box} ${i}`))
+			await sleep(REQUEST_INTERVAL_MS)
 		}
 		await Promise.all(answers)
 	}
 
-	private async askOne(box: number, path: string, id: string): Promise<void> {
+	private async sendOne(box: number, path: string, id: string): Promise<void> {
 		const at = performance.now()
-		const answer = await this.boxes[box]?.ask(path, { id })
-		if (answer) this.asked.push({ box: `box-${box}`, at, answeredAt: performance.now(), answer })
+		const answer = await this.boxes[box]?.sendRequest(path, { id })
+		if (answer)
+			this.sentRequests.push({
+				box: `box-${box}`,
+				sentAt: at,
+				answeredAt: performance.now(),
+				response: answer,
+			})
 	}
 
 	/** Pairs of a box and a target that told it that it leaves. */
-	get boxesToldToLeave(): number {
-		return this.pairs((requests) => (toldToLeaveAt(requests) < Infinity ? 1 : 0))
+	get leavingPairs(): number {
+		return this.sumOverPairs((requests) => (leavingNoticeAt(requests) < Infinity ? 1 : 0))
 	}
 
 	/** Requests that reached a target later than the time of a drain after it told their box that it leaves. */
-	get sentAfterDrain(): number {
-		return this.pairs((requests) => {
-			const bound = toldToLeaveAt(requests) + DRAIN_MS
+	get requestsAfterDrain(): number {
+		return this.sumOverPairs((requests) => {
+			const bound = leavingNoticeAt(requests) + MAX_DRAIN_DELAY_MS
 			return requests.filter(({ at }) => at > bound).length
 		})
 	}
 
 	/** Answers that asked a box for a backoff. */
-	get backoffs(): number {
-		return this.pairs((requests) => requests.filter(({ answer }) => asksForBackoff(answer)).length)
+	get backoffCount(): number {
+		return this.sumOverPairs(
+			(requests) => requests.filter(({ answer }) => asksForBackoff(answer)).length,
+		)
 	}
 
 	/** Most requests of one box that reached a target in the time of one backoff that it had asked that box for. */
-	get mostInABackoff(): number {
+	get maxRequestsInBackoff(): number {
 		let most = 0
-		this.pairs((requests) => {
+		this.sumOverPairs((requests) => {
 			for (const { at, answer } of requests) {
 				if (!asksForBackoff(answer)) continue
 				const inBackoff = requests.filter(
-					(other) => other.at > at + UNDER_WAY_MS && other.at < at + BACKOFF_MS,
+					(other) => other.at > at + IN_FLIGHT_MS && other.at < at + BACKOFF_MS,
 				)
 				most = Math.max(most, inBackoff.length)
 			}
@@ -142,52 +158,52 @@
 	}
 
 	/** Times at which requests reached a target since targets speak, from boxes that had been told so long before. */
-	timesAt(name: string, toldMs: number): readonly number[] {
+	requestTimes(name: string, toldMs: number): readonly number[] {
 		const requests = this.targets.find((target) => target.name === name)?.requests ?? []
-		const spoken = requests.filter(({ at }) => at >= this.spokeAt)
+		const spoken = requests.filter(({ at }) => at >= this.notifiedSince)
 		const toldAt = new Map<string, number>()
 		for (const { at, answer, requestId } of spoken) {
-			const box = idOf(requestId)
+			const box = boxNameOf(requestId)
 			if (!toldAt.has(box) && namesRate(answer)) toldAt.set(box, at)
 		}
 		const isTold = ({ at, requestId }: { at: number; requestId: string }): boolean =>
-			at >= (toldAt.get(idOf(requestId)) ?? Infinity) + toldMs
+			at >= (toldAt.get(boxNameOf(requestId)) ?? Infinity) + toldMs
 		return spoken.filter(isTold).map(({ at }) => at)
 	}
 
 	/** Requests that were not served although they came so long after targets began to speak. */
-	lateFailures(afterMs: number): number {
-		const late = this.asked.filter(({ at }) => at > this.spokeAt + afterMs)
-		return late.filter(({ answer }) => answer.status !== 200 || !answer.whole).length
+	failuresAfter(afterMs: number): number {
+		const late = this.sentRequests.filter(({ sentAt: at }) => at > this.notifiedSince + afterMs)
+		return late.filter(({ response: answer }) => answer.status !== 200 || !answer.isComplete).length
 	}
 
 	/** Requests that were served of those that came so long after targets began to speak. */
-	served(afterMs: number): number {
-		const late = this.asked.filter(({ at }) => at > this.spokeAt + afterMs)
-		return late.filter(({ answer }) => answer.status === 200 && answer.whole).length
+	successesAfter(afterMs: number): number {
+		const late = this.sentRequests.filter(({ sentAt: at }) => at > this.notifiedSince + afterMs)
+		return late.filter(({ response: answer }) => answer.status === 200 && answer.isComplete).length
 	}
 
 	/** Longest time until a caller was refused, in ms. */
-	get slowestRefusalMs(): number {
-		const refused = this.asked.filter(({ answer }) => answer.status === 503)
-		return Math.max(0, ...refused.map(({ at, answeredAt }) => answeredAt - at))
+	get maxRefusalMs(): number {
+		const refused = this.sentRequests.filter(({ response: answer }) => answer.status === 503)
+		return Math.max(0, ...refused.map(({ sentAt: at, answeredAt }) => answeredAt - at))
 	}
 
 	/** Callers that were refused, and told to come back before any target takes work of their box again. */
-	get calledBackTooSoon(): number {
-		return this.asked.filter(({ box, answeredAt, answer }) => {
+	get prematureRetryCount(): number {
+		return this.sentRequests.filter(({ box, answeredAt, response: answer }) => {
 			if (answer.status !== 503) return false
 			const backAt = answeredAt + Number(answer.headers['retry-after'] ?? 0) * 1_000
-			return backAt < this.firstOpenAt(box, answeredAt)
+			return backAt < this.firstAvailableAt(box, answeredAt)
 		}).length
 	}
 
 	/** When the first target takes work of a box again, as far as it was told until then; 0: some take it now. */
-	private firstOpenAt(box: string, now: number): number {
+	private firstAvailableAt(box: string, now: number): number {
 		const opens = this.targets.map(({ requests }) => {
 			const told = requests.filter(
 				({ requestId, at, answer }) =>
-					idOf(requestId) === box && at < now && asksForBackoff(answer),
+					boxNameOf(requestId) === box && at < now && asksForBackoff(answer),
 			)
 			return Math.max(0, ...told.map(({ at }) => at + BACKOFF_MS))
 		})
@@ -195,17 +211,17 @@
 	}
 
 	/** Sum over all pairs of a target and a box that sent to it, of what the target got from that box. */
-	private pairs(count: (requests: NotifyingTarget['requests']) => number): number {
+	private sumOverPairs(count: (requests: NotifyingTarget['requests']) => number): number {
 		let sum = 0
 		for (const target of this.targets)
 			for (let i = 0; i < this.boxCount; i++)
-				sum += count(target.requests.filter(({ requestId }) => idOf(requestId) === `box-${i}`))
+				sum += count(target.requests.filter(({ requestId }) => boxNameOf(requestId) === `box-${i}`))
 		return sum
 	}
 
 	/** A box that hears others is listed already, as one that starts again. */
 	private async makeBox(name: string): Promise<TestBox> {
-		if (!this.options.areInTouch) return new TestBox(name, this.store)
+		if (!this.options.arePeersConnected) return new TestBox(name, this.store)
 		const port = await freePort()
 		const member = { zone: 'z1', address: `127.0.0.1:${port}`, cores: 1 }
 		this.store.put(`box/${name}`, JSON.stringify(member))
@@ -215,19 +231,20 @@
 	private makeTarget(name: string): NotifyingTarget {
 		return new NotifyingTarget({
 			name,
-			headers: DIALECT.headers,
-			workMs: WORK_MS,
-			answer: () => (performance.now() < this.spokeAt ? GOOD : (this.spoken[name] ?? GOOD)),
+			headers: TEST_DIALECT.headers,
+			workMs: REQUEST_DURATION_MS,
+			answer: () =>
+				performance.now() < this.notifiedSince ? OK_ANSWER : (this.answers[name] ?? OK_ANSWER),
 		})
 	}
 }
 
-function idOf(requestId: string): string {
+function boxNameOf(requestId: string): string {
 	return requestId.split(' ')[0] ?? ''
 }
 
-function toldToLeaveAt(requests: NotifyingTarget['requests']): number {
-	const { header } = DIALECT.headers.leaving
+function leavingNoticeAt(requests: NotifyingTarget['requests']): number {
+	const { header } = TEST_DIALECT.headers.leaving
 	return requests.find(({ answer }) => answer.notice[header] !== undefined)?.at ?? Infinity
 }
 
@@ -236,5 +253,5 @@
 }
 
 function namesRate({ notice }: NotifyingAnswer): boolean {
-	return notice[DIALECT.headers.requestRate] !== undefined
+	return notice[TEST_DIALECT.headers.requestRate] !== undefined
 }
--- a/packages/gateway/src/lib/fleetCuts.ts
+++ b/packages/gateway/src/lib/testPartitions.ts
@@ -1,31 +1,31 @@
 import { vi } from 'vitest'
-import { CONTACT_MS, TestFleet, randomOf } from './testFleet.js'
+import { MAX_RECOVERY_MS, TestFleet, seededRandom } from './testFleet.js'
 
 export const STEP_MS = 50
-const CUT_MS = 12_000
+const PARTITION_MS = 12_000
 
 /** Whom the boxes that the store turns away can reach meanwhile. */
-const REACH = {
+const PARTITIONS = {
 	'all other boxes': () => false,
 	'boxes of their zone': (a: string, b: string) => zoneOf(a) !== zoneOf(b),
 	'no other box': () => true,
 } as const
 
-type Reach = keyof typeof REACH
+type PartitionKind = keyof typeof PARTITIONS
 
 /** What is changed beside a cut, and what then counts as wrong. */
-export interface CutChanges {
+export interface PartitionScenario {
 	/** Done before the boxes are cut off. */
 	readonly before?: (fleet: TestFleet) => void
 	/** Done while the boxes are cut off. */
 	readonly change: (fleet: TestFleet) => void
 	/** Whether a box goes by what was true before; by default where it would send to the target `c`. */
-	readonly isBehind?: (fleet: TestFleet, box: string) => boolean
+	readonly isStale?: (fleet: TestFleet, box: string) => boolean
 }
 
-interface Cut extends CutFleet, CutChanges {
+interface PartitionCase extends PartitionedFleet, PartitionScenario {
 	readonly seed: number
-	readonly reach: Reach
+	readonly reach: PartitionKind
 }
 
 function zoneOf(box: string): string {
@@ -37,7 +37,7 @@
 	zones: Readonly<Record<string, number>>,
 	seed: number,
 ): Promise<TestFleet> {
-	const random = randomOf(seed)
+	const random = seededRandom(seed)
 	const fleet = new TestFleet({ zones, watchersPerZone: 3, random })
 	for (const target of ['a', 'b', 'c']) fleet.store.put(`targets/${target}`, 'ready')
 	fleet.repeat(() => fleet.store.put('config/now', `${Date.now()}`), 3_000)
@@ -50,7 +50,7 @@
 }
 
 /** Latest time from now on at which one of the boxes is behind, in ms. */
-export async function behindUntil(
+export async function staleUntilMs(
 	fleet: TestFleet,
 	boxes: readonly string[],
 	isBehind: (fleet: TestFleet, box: string) => boolean = usesTarget,
@@ -64,34 +64,34 @@
 }
 
 /** Latest time after the return at which a box that was cut off was still behind, in ms. */
-async function latestBehind(cut: Cut): Promise<number> {
-	const { seed, reach, before, change, isBehind, zones, cutBoxes } = cut
+async function staleAfterHealMs(cut: PartitionCase): Promise<number> {
+	const { seed, reach, before, change, isStale: isBehind, zones, isolatedBoxes: cutBoxes } = cut
 	const fleet = await startFleet(zones, seed)
 	if (before) {
 		before(fleet)
 		await vi.advanceTimersByTimeAsync(2_000)
 	}
 	const isCut = (box: string): boolean => cutBoxes.includes(box)
-	fleet.cut(cutBoxes, (a, b) => (isCut(a) || isCut(b)) && REACH[reach](a, b))
+	fleet.partition(cutBoxes, (a, b) => (isCut(a) || isCut(b)) && PARTITIONS[reach](a, b))
 	await vi.advanceTimersByTimeAsync(3_000)
 	change(fleet)
-	await vi.advanceTimersByTimeAsync(CUT_MS - 3_000 + 170 * seed)
+	await vi.advanceTimersByTimeAsync(PARTITION_MS - 3_000 + 170 * seed)
 	fleet.heal()
-	const latest = await behindUntil(fleet, cutBoxes, isBehind)
+	const latest = await staleUntilMs(fleet, cutBoxes, isBehind)
 	fleet.stop()
 	return latest
 }
 
 /** The zones of a fleet with their boxes, and those that are cut off. */
-interface CutFleet {
+interface PartitionedFleet {
 	readonly zones: Readonly<Record<string, number>>
-	readonly cutBoxes: readonly string[]
+	readonly isolatedBoxes: readonly string[]
 }
 
 /** A fleet in which every box watches the store, and one in which half ask others. */
-export const FLEETS: readonly CutFleet[] = [
-	{ zones: { solo: 3, klaten: 3, boyolali: 2 }, cutBoxes: ['solo-1', 'solo-2', 'boyolali-2'] },
-	{ zones: { east: 6, west: 6 }, cutBoxes: ['east-2', 'east-5', 'west-4'] },
+export const FLEETS: readonly PartitionedFleet[] = [
+	{ zones: { solo: 3, klaten: 3, boyolali: 2 }, isolatedBoxes: ['solo-1', 'solo-2', 'boyolali-2'] },
+	{ zones: { east: 6, west: 6 }, isolatedBoxes: ['east-2', 'east-5', 'west-4'] },
 ]
 
 /** Each test plays minutes of virtual time, which take longer on a busy machine. */
@@ -99,14 +99,14 @@
 export const SEEDS = [1, 2, 3, 4, 5, 6]
 
 /** Cuts of all kinds after which boxes were behind for too long. */
-export async function lateCuts(changes: CutChanges): Promise<string[]> {
+export async function findLateRecoveries(changes: PartitionScenario): Promise<string[]> {
 	const late: string[] = []
 	for (const fleet of FLEETS) {
-		for (const reach of Object.keys(REACH) as Reach[]) {
+		for (const reach of Object.keys(PARTITIONS) as PartitionKind[]) {
 			for (const seed of SEEDS) {
-				const latest = await latestBehind({ ...fleet, ...changes, seed, reach })
+				const latest = await staleAfterHealMs({ ...fleet, ...changes, seed, reach })
 				const cut = `${Object.keys(fleet.zones).join('/')}, ${reach} reached, seed ${seed}`
-				if (latest >= CONTACT_MS) late.push(`${cut}: ${latest} ms`)
+				if (latest >= MAX_RECOVERY_MS) late.push(`${cut}: ${latest} ms`)
 			}
 		}
 	}
--- a/packages/gateway/src/lib/watchFile.ts
+++ b/packages/gateway/src/lib/watchFile.ts
@@ -1,7 +1,7 @@
 import { statSync } from 'node:fs'
 
 /** Time between two looks at the file, in ms. */
-const POLL_MS = 1_000
+const POLL_INTERVAL_MS = 1_000
 
 /** Calls back when the modification time of a file has changed; a file that is missing has none. @public */
 export function watchFile(file: string, changed: () => void): void {
@@ -11,7 +11,7 @@
 		if (now === known) return
 		known = now
 		changed()
-	}, POLL_MS)
+	}, POLL_INTERVAL_MS)
 }
 
 function modifiedAt(file: string): number {
--- a/packages/gateway/src/lib/workCodec.test.ts
+++ b/packages/gateway/src/lib/workCodec.test.ts
@@ -1,8 +1,8 @@
-import { brandId, type BoxName, type TargetLife } from '@stallwing/core'
+import { brandId, type BoxName, type TargetIncarnation } from '@stallwing/core'
 import { describe, expect, it } from 'vitest'
 import { decodeWork, encodeWork, fromWireWork, toWireWork } from './workCodec.js'
 
-const WORK = [{ life: brandId<TargetLife>('t-1'), unreadTokens: 900, open: 2 }]
+const WORK = [{ life: brandId<TargetIncarnation>('t-1'), unreadTokens: 900, open: 2 }]
 
 describe('workCodec', () => {
 	it('reads what it wrote', () => {
--- a/packages/gateway/src/lib/workCodec.ts
+++ b/packages/gateway/src/lib/workCodec.ts
@@ -1,4 +1,4 @@
-import { brandId, type BoxName, type TargetLife, type TargetWork } from '@stallwing/core'
+import { brandId, type BoxName, type TargetIncarnation, type TargetWork } from '@stallwing/core'
 
 /** Work at targets, as one box tells it to another. */
 export interface WorkMessage {
@@ -44,7 +44,7 @@
 export function fromWireWork(rows: unknown): TargetWork[] | undefined {
 	if (!Array.isArray(rows)) return undefined
 	return (rows as WireWork[]).map(([life, unreadTokens, open]) => ({
-		life: brandId<TargetLife>(life),
+		life: brandId<TargetIncarnation>(life),
 		unreadTokens,
 		open,
 	}))
--- a/packages/router/src/lib/RouterDaemon.ts
+++ b/packages/router/src/lib/RouterDaemon.ts
@@ -194,7 +194,7 @@
 			targets: [...(board?.targets.states.values() ?? [])].map((state) => ({
 				target: state.record.name,
 				inFlight: state.inFlight,
-				reported: state.reported,
+				reported: state.reportedLoad,
 				leaving: state.leaving,
 				ejected: state.ejectedUntil > Date.now(),
 			})),
@@ -377,7 +377,7 @@
 
 	/** Tells the core which targets the platform's list calls leaving. */
 	private async readList(index: BundleIndex): Promise<void> {
-		const names = await this.platform.leavingNames()
+		const names = await this.platform.leavingBoxNames()
 		if (!names) return
 		const targets = names.map((name) => brandId<TargetName>(name))
 		const known = targets.filter((name) => index.target(name) !== undefined)
--- a/packages/standins/src/lib/MemoryStore.ts
+++ b/packages/standins/src/lib/MemoryStore.ts
@@ -1,6 +1,6 @@
 import {
-	EraStore,
-	type EraAnswer,
+	EraTrackingStore,
+	type EraResponse,
 	type KeyValueStore,
 	type StoreChange,
 	type StoreConnection,
@@ -79,7 +79,10 @@
 	/** The store as one caller sees it, which learns of eras from the answers that it gets. */
 	connect(caller: string): KeyValueStore {
 		const ignore = (): void => undefined
-		return new EraStore(this.connection(caller), { onEra: ignore, onUnnamed: ignore })
+		return new EraTrackingStore(this.connection(caller), {
+			onEraChange: ignore,
+			onMissingEra: ignore,
+		})
 	}
 
 	/** The calls of one caller as they go over the wire. */
@@ -143,7 +146,7 @@
 		caller: string,
 		name: string,
 		perform: () => E.Either<StoreFault, T>,
-	): Promise<EraAnswer<T>> {
+	): Promise<EraResponse<T>> {
 		this.calls.set(name, (this.calls.get(name) ?? 0) + 1)
 		const fate = this.options.fate?.(caller, name) ?? 'served'
 		if (fate === 'served' || fate === 'refused') {
@@ -176,7 +179,7 @@
 		prefix: string,
 		after: number,
 		waitMs: number,
-	): Promise<EraAnswer<readonly StoreChange<number>[]>> {
+	): Promise<EraResponse<readonly StoreChange<number>[]>> {
 		const until = this.options.now() + waitMs
 		for (;;) {
 			const seen = await this.call(caller, 'watch', () => this.changes(prefix, after))
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -2,7 +2,7 @@
 export {
 	DEFAULT_PLATFORM_TIMEOUT_MS,
 	PlatformClient,
-	PlatformUnavailable,
+	PlatformUnavailableError,
 	type PlatformClientOptions,
 } from './lib/PlatformClient.js'
 export {
@@ -21,7 +21,7 @@
 export { readDocument, type UnreadableDocument } from './lib/readDocument.js'
 export { ChangeLog } from './lib/ChangeLog.js'
 export {
-	type FollowedStore,
+	type WatchableStore,
 	type KeyValueStore,
 	type StoreChange,
 	type StoreFault,
@@ -30,12 +30,20 @@
 	type StoreListing,
 	type WriteResult,
 } from './lib/KeyValueStore.js'
-export { EraStore, type EraChange, type EraStoreOptions } from './lib/EraStore.js'
-export { readEra, type EraAnswer, type StoreConnection } from './lib/StoreConnection.js'
-export { PrefixFollower, type FollowerOptions, type StoreContact } from './lib/PrefixFollower.js'
 export {
-	HttpCaller,
-	type HttpCall,
-	type HttpCallerOptions,
-	type HttpReply,
-} from './lib/HttpCaller.js'
+	EraTrackingStore,
+	type EraChange,
+	type EraTrackingStoreOptions,
+} from './lib/EraTrackingStore.js'
+export { parseEra, type EraResponse, type StoreConnection } from './lib/StoreConnection.js'
+export {
+	PrefixFollower,
+	type PrefixFollowerOptions,
+	type StoreContact,
+} from './lib/PrefixFollower.js'
+export {
+	HttpClient,
+	type HttpRequest,
+	type HttpClientOptions,
+	type HttpResponse,
+} from './lib/HttpClient.js'
--- a/packages/store/src/lib/BundleStore.ts
+++ b/packages/store/src/lib/BundleStore.ts
@@ -41,8 +41,8 @@
 }
 
 /** Characters per chunk; values of the platform hold up to a megabyte of UTF-8. */
-const CHUNK_CHARACTERS = 200_000
-const CAS_TRIES = 8
+const MAX_CHUNK_CHARACTERS = 200_000
+const MAX_CAS_ATTEMPTS = 8
 
 /** Bundles in the platform: immutable chunks under their hash, and one head. @public */
 export class BundleStore {
@@ -56,9 +56,9 @@
 
 	/** Writes a proposal under its hash. Writing it twice changes nothing. */
 	async propose(document: BundleDocument): Promise<E.Either<BundleStoreFault, void>> {
-		const chunks = Math.ceil(document.text.length / CHUNK_CHARACTERS)
+		const chunks = Math.ceil(document.text.length / MAX_CHUNK_CHARACTERS)
 		for (let i = 0; i < chunks; i++) {
-			const text = document.text.slice(i * CHUNK_CHARACTERS, (i + 1) * CHUNK_CHARACTERS)
+			const text = document.text.slice(i * MAX_CHUNK_CHARACTERS, (i + 1) * MAX_CHUNK_CHARACTERS)
 			const result = await this.write(chunkKey(document.hash, i), 0, { text })
 			if (result.kind === 'no-answer') return E.left({ kind: 'no-answer', step: `chunk ${i}` })
 		}
@@ -78,7 +78,7 @@
 		if (!found) return E.left({ kind: 'unknown-version', version: 0 })
 		const manifest = { ...(found.value as Manifest), approval }
 		const result = await this.write(manifestKey(hash), found.revision, manifest)
-		return result.kind === 'written' ? E.right(undefined) : E.left(failure(result, 'approval'))
+		return result.kind === 'written' ? E.right(undefined) : E.left(makeFault(result, 'approval'))
 	}
 
 	/** Reads a document by hash. */
@@ -144,7 +144,7 @@
 		bundle: Bundle,
 		shard: number,
 	): Promise<E.Either<BundleStoreFault, void>> {
-		for (let i = 0; i < CAS_TRIES; i++) {
+		for (let i = 0; i < MAX_CAS_ATTEMPTS; i++) {
 			const found = await this.platform.read(shardKey(shard))
 			const value = (found?.value as BudgetShardValue | undefined) ?? emptyShard()
 			let changed = false
@@ -173,7 +173,7 @@
 	}
 }
 
-function failure(result: PlatformResult, step: string): BundleStoreFault {
+function makeFault(result: PlatformResult, step: string): BundleStoreFault {
 	return result.kind === 'conflict'
 		? { kind: 'conflict', head: undefined }
 		: { kind: 'no-answer', step }
--- a/packages/store/src/lib/ChangeLog.test.ts
+++ b/packages/store/src/lib/ChangeLog.test.ts
@@ -22,45 +22,46 @@
 describe('ChangeLog', () => {
 	it('tells the newest change of each key, in the order of revisions', () => {
 		const log = new ChangeLog()
-		log.restart({ items: [item('a', 1)], at: at(2) })
+		log.applyListing({ items: [item('a', 1)], at: at(2) })
 		log.append([written('b', 4), written('a', 3), { kind: 'gone', key: 'b', revision: at(5) }])
-		expect(keysOf(log.since(at(2)))).toEqual(['a', '-b'])
-		expect(keysOf(log.since(at(4)))).toEqual(['-b'])
+		expect(keysOf(log.changesSince(at(2)))).toEqual(['a', '-b'])
+		expect(keysOf(log.changesSince(at(4)))).toEqual(['-b'])
 	})
 
 	it('tells that a key is gone which a new listing lacks', () => {
 		const log = new ChangeLog()
-		log.restart({ items: [item('a', 1), item('b', 2)], at: at(2) })
-		log.restart({ items: [item('a', 1)], at: at(9) })
+		log.applyListing({ items: [item('a', 1), item('b', 2)], at: at(2) })
+		log.applyListing({ items: [item('a', 1)], at: at(9) })
 		expect(log.listing()?.items.map(({ key }) => key)).toEqual(['a'])
 		expect(log.listing()?.at).toEqual(at(9))
 	})
 
 	it('does not leave out a deletion that fell between two of its listings', () => {
 		const log = new ChangeLog()
-		log.restart({ items: [], at: at(1) })
+		log.applyListing({ items: [], at: at(1) })
 		// Another box saw `b` written at 5. This one did not, and `b` went at 8.
-		log.restart({ items: [item('a', 9)], at: at(10) })
-		expect(log.since(at(6))).toBeUndefined()
-		expect(log.since(at(10))).toEqual([])
+		log.applyListing({ items: [item('a', 9)], at: at(10) })
+		expect(log.changesSince(at(6))).toBeUndefined()
+		expect(log.changesSince(at(10))).toEqual([])
 		// Who knew no more than this box needs no listing.
-		expect(keysOf(log.since(at(1)))).toEqual(['a'])
+		expect(keysOf(log.changesSince(at(1)))).toEqual(['a'])
 	})
 
 	it('tells changes across a listing that brought nothing new', () => {
 		const log = new ChangeLog()
-		log.restart({ items: [item('a', 1)], at: at(3) })
+		log.applyListing({ items: [item('a', 1)], at: at(3) })
 		log.append([written('b', 4)])
-		log.restart({ items: [item('a', 1), item('b', 4)], at: at(30) })
-		expect(log.since(at(4))).toEqual([])
+		log.applyListing({ items: [item('a', 1), item('b', 4)], at: at(30) })
+		expect(log.changesSince(at(4))).toEqual([])
 		log.append([{ kind: 'gone', key: 'b', revision: at(31) }])
-		expect(keysOf(log.since(at(4)))).toEqual(['-b'])
+		expect(keysOf(log.changesSince(at(4)))).toEqual(['-b'])
 	})
 
 	it('remembers a bounded number of gaps', () => {
 		const log = new ChangeLog()
-		for (let number = 1; number < 1_000; number += 2) log.restart({ items: [], at: at(number) })
-		expect(log.since(at(1))).toBeUndefined()
-		expect(log.since(at(997))).toEqual([])
+		for (let number = 1; number < 1_000; number += 2)
+			log.applyListing({ items: [], at: at(number) })
+		expect(log.changesSince(at(1))).toBeUndefined()
+		expect(log.changesSince(at(997))).toEqual([])
 	})
 })
--- a/packages/store/src/lib/ChangeLog.ts
+++ b/packages/store/src/lib/ChangeLog.ts
@@ -2,9 +2,9 @@
 import type { StoreChange, StoreItem, StoreListing } from './KeyValueStore.js'
 
 /** Deletions that are remembered at most; what is older is for a listing to tell. */
-const MOST_DELETIONS = 2_000
+const MAX_DELETIONS = 2_000
 /** Gaps before listings that are remembered at most; what lies before the older ones is for a listing to tell. */
-const MOST_GAPS = 100
+const MAX_GAPS = 100
 
 /** Revision numbers between which keys may have come and gone unnoticed, neither of them included. */
 interface Gap {
@@ -20,19 +20,19 @@
  */
 export class ChangeLog {
 	/** In the order in which the changes became known. */
-	private readonly newest = new Map<string, StoreChange>()
-	private knownEra = 0
+	private readonly latestChanges = new Map<string, StoreChange>()
+	private currentEra = 0
 	/** Who knows all changes of the era up to this revision number can be told the rest. */
-	private base = Number.POSITIVE_INFINITY
+	private compactedRevision = Number.POSITIVE_INFINITY
 	/** All changes up to this revision number are known; -Infinity: none was ever heard of. */
-	private completeTo = Number.NEGATIVE_INFINITY
+	private completeRevision = Number.NEGATIVE_INFINITY
 	/** Between what was known and a listing, oldest first. */
 	private gaps: Gap[] = []
-	private readonly waiting = new Set<() => void>()
+	private readonly waiters = new Set<() => void>()
 
 	/** Era of all that is known; 0 before the first listing. */
 	get era(): number {
-		return this.knownEra
+		return this.currentEra
 	}
 
 	/**
@@ -40,34 +40,34 @@
 	 * that was known and the listing. Who knows such a key can't be told changes any more; who knows as
 	 * little as this log did can, and need not take all items again. False where the listing is of an era that is over.
 	 */
-	restart(listing: StoreListing): boolean {
-		if (listing.at.era < this.knownEra) return false
-		if (listing.at.era > this.knownEra) this.beginEra(listing.at.era)
-		this.takeListing(listing.items, listing.at.number)
+	applyListing(listing: StoreListing): boolean {
+		if (listing.at.era < this.currentEra) return false
+		if (listing.at.era > this.currentEra) this.beginEra(listing.at.era)
+		this.mergeListing(listing.items, listing.at.number)
 		return true
 	}
 
 	/** Revisions of before say nothing in a new era: what they stood for may be lost, or stand under others. */
 	private beginEra(era: number): void {
-		this.knownEra = era
-		this.newest.clear()
+		this.currentEra = era
+		this.latestChanges.clear()
 		this.gaps = []
-		this.base = Number.POSITIVE_INFINITY
-		this.completeTo = Number.NEGATIVE_INFINITY
+		this.compactedRevision = Number.POSITIVE_INFINITY
+		this.completeRevision = Number.NEGATIVE_INFINITY
 	}
 
-	private takeListing(items: readonly StoreItem[], at: number): void {
+	private mergeListing(items: readonly StoreItem[], at: number): void {
 		const listed = new Set(items.map((item) => item.key))
-		const gone = [...this.newest.values()]
+		const gone = [...this.latestChanges.values()]
 			.filter((change) => change.kind === 'written' && !listed.has(change.item.key))
 			.filter((change) => numberOf(change) <= at)
 			.map((change): StoreChange => {
-				return { kind: 'gone', key: keyOf(change), revision: { era: this.knownEra, number: at } }
+				return { kind: 'gone', key: keyOf(change), revision: { era: this.currentEra, number: at } }
 			})
-		if (!Number.isFinite(this.base)) this.base = at
-		if (at > this.completeTo) this.addGap({ from: this.completeTo, to: at })
-		this.completeTo = Math.max(this.completeTo, at)
-		this.take([...gone, ...items.map((item): StoreChange => ({ kind: 'written', item }))])
+		if (!Number.isFinite(this.compactedRevision)) this.compactedRevision = at
+		if (at > this.completeRevision) this.addGap({ from: this.completeRevision, to: at })
+		this.completeRevision = Math.max(this.completeRevision, at)
+		this.merge([...gone, ...items.map((item): StoreChange => ({ kind: 'written', item }))])
 	}
 
 	/**
@@ -75,69 +75,70 @@
 	 * are known, or of another era, are left out.
 	 */
 	append(changes: readonly StoreChange[]): void {
-		const ofEra = changes.filter((change) => revisionOf(change).era === this.knownEra)
-		for (const change of ofEra) this.completeTo = Math.max(this.completeTo, numberOf(change))
-		this.take(ofEra)
+		const ofEra = changes.filter((change) => revisionOf(change).era === this.currentEra)
+		for (const change of ofEra)
+			this.completeRevision = Math.max(this.completeRevision, numberOf(change))
+		this.merge(ofEra)
 	}
 
 	/** The newest change of each key after a revision, oldest first; undefined where some are not kept. */
-	since({ era, number: after }: StoreRevision): readonly StoreChange[] | undefined {
-		if (era !== this.knownEra || after < this.base) return undefined
+	changesSince({ era, number: after }: StoreRevision): readonly StoreChange[] | undefined {
+		if (era !== this.currentEra || after < this.compactedRevision) return undefined
 		if (this.gaps.some(({ from, to }) => from < after && after < to)) return undefined
-		return [...this.newest.values()]
-			.filter((change) => numberOf(change) > after && numberOf(change) <= this.completeTo)
+		return [...this.latestChanges.values()]
+			.filter((change) => numberOf(change) > after && numberOf(change) <= this.completeRevision)
 			.sort((a, b) => numberOf(a) - numberOf(b))
 	}
 
 	/** All items as they are known; undefined before the first listing. */
 	listing(): StoreListing | undefined {
-		if (!Number.isFinite(this.completeTo)) return undefined
+		if (!Number.isFinite(this.completeRevision)) return undefined
 		const items: StoreItem[] = []
-		for (const change of this.newest.values())
+		for (const change of this.latestChanges.values())
 			if (change.kind === 'written') items.push(change.item)
-		return { items, at: { era: this.knownEra, number: this.completeTo } }
+		return { items, at: { era: this.currentEra, number: this.completeRevision } }
 	}
 
 	/** Resolves at the next change, or when the time is over. */
-	wait(ms: number): Promise<void> {
+	waitForChange(ms: number): Promise<void> {
 		return new Promise((resolve) => {
 			const wake = (): void => {
 				clearTimeout(timer)
-				this.waiting.delete(wake)
+				this.waiters.delete(wake)
 				resolve()
 			}
 			const timer = setTimeout(wake, ms)
-			this.waiting.add(wake)
+			this.waiters.add(wake)
 		})
 	}
 
-	private take(changes: readonly StoreChange[]): void {
+	private merge(changes: readonly StoreChange[]): void {
 		let isNews = false
 		for (const change of changes) {
 			const key = keyOf(change)
-			const known = this.newest.get(key)
+			const known = this.latestChanges.get(key)
 			if (known && numberOf(known) >= numberOf(change)) continue
-			this.newest.delete(key)
-			this.newest.set(key, change)
+			this.latestChanges.delete(key)
+			this.latestChanges.set(key, change)
 			isNews = true
 		}
 		if (!isNews) return
-		this.forgetDeletions()
-		for (const wake of [...this.waiting]) wake()
+		this.evictOldDeletions()
+		for (const wake of [...this.waiters]) wake()
 	}
 
 	private addGap(gap: Gap): void {
 		this.gaps.push(gap)
-		if (this.gaps.length <= MOST_GAPS) return
+		if (this.gaps.length <= MAX_GAPS) return
 		const oldest = this.gaps.shift()
-		if (oldest) this.base = Math.max(this.base, oldest.to)
+		if (oldest) this.compactedRevision = Math.max(this.compactedRevision, oldest.to)
 	}
 
-	private forgetDeletions(): void {
-		const deletions = [...this.newest.values()].filter((change) => change.kind === 'gone')
-		for (const change of deletions.slice(0, Math.max(0, deletions.length - MOST_DELETIONS))) {
-			this.newest.delete(keyOf(change))
-			this.base = Math.max(this.base, numberOf(change))
+	private evictOldDeletions(): void {
+		const deletions = [...this.latestChanges.values()].filter((change) => change.kind === 'gone')
+		for (const change of deletions.slice(0, Math.max(0, deletions.length - MAX_DELETIONS))) {
+			this.latestChanges.delete(keyOf(change))
+			this.compactedRevision = Math.max(this.compactedRevision, numberOf(change))
 		}
 	}
 }
--- a/packages/store/src/lib/EraStore.test.ts
+++ b/packages/store/src/lib/EraTrackingStore.test.ts
@@ -1,8 +1,8 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { describe, expect, it } from 'vitest'
-import { EraStore, type EraChange } from './EraStore.js'
+import { EraTrackingStore, type EraChange } from './EraTrackingStore.js'
 import type { StoreFault } from './KeyValueStore.js'
-import type { EraAnswer, StoreConnection } from './StoreConnection.js'
+import type { EraResponse, StoreConnection } from './StoreConnection.js'
 
 const ITEM = { key: 'a', value: Buffer.from('value'), revision: 7 }
 const NO_ANSWER = E.left<StoreFault>({ kind: 'no-answer', cause: 'lost' })
@@ -27,7 +27,7 @@
 		return this.answer([{ kind: 'written', item: ITEM } as const])
 	}
 
-	private answer<T>(value: T): Promise<EraAnswer<T>> {
+	private answer<T>(value: T): Promise<EraResponse<T>> {
 		return Promise.resolve(
 			this.isLost
 				? { era: undefined, result: NO_ANSWER }
@@ -38,16 +38,16 @@
 
 function connect(): {
 	connection: Connection
-	store: EraStore
+	store: EraTrackingStore
 	eras: EraChange[]
 	unnamed: string[]
 } {
 	const connection = new Connection()
 	const eras: EraChange[] = []
 	const unnamed: string[] = []
-	const store = new EraStore(connection, {
-		onEra: (change) => eras.push(change),
-		onUnnamed: (call) => unnamed.push(call),
+	const store = new EraTrackingStore(connection, {
+		onEraChange: (change) => eras.push(change),
+		onMissingEra: (call) => unnamed.push(call),
 	})
 	return { connection, store, eras, unnamed }
 }
--- a/packages/store/src/lib/HttpCaller.test.ts
+++ b/packages/store/src/lib/HttpClient.test.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { afterEach, describe, expect, it } from 'vitest'
-import { HttpCaller } from './HttpCaller.js'
+import { HttpClient } from './HttpClient.js'
 
 const TIMEOUT_MS = 400
 const PIECES = 8
@@ -9,7 +9,7 @@
 
 describe('HttpCaller', () => {
 	let server: Server | undefined
-	let caller: HttpCaller | undefined
+	let caller: HttpClient | undefined
 
 	afterEach(() => {
 		caller?.close()
@@ -18,7 +18,7 @@
 	})
 
 	/** A server whose answer comes in pieces, or stops in the middle. */
-	async function start(pieces: number): Promise<HttpCaller> {
+	async function start(pieces: number): Promise<HttpClient> {
 		server = createServer((_message, response) => {
 			response.writeHead(200, { 'Content-Length': PIECES })
 			let sent = 0
@@ -30,7 +30,7 @@
 		})
 		await new Promise<void>((resolve) => server?.listen(0, '127.0.0.1', resolve))
 		const { port } = server.address() as AddressInfo
-		caller = new HttpCaller({ host: '127.0.0.1', port, connections: 1 })
+		caller = new HttpClient({ host: '127.0.0.1', port, maxConnections: 1 })
 		return caller
 	}
 
--- a/packages/store/src/lib/HttpCaller.ts
+++ b/packages/store/src/lib/HttpClient.ts
@@ -1,32 +1,32 @@
 import { Agent, request, type IncomingHttpHeaders } from 'node:http'
 
 /** Where and how often calls go. @public */
-export interface HttpCallerOptions {
+export interface HttpClientOptions {
 	/** IP number. */
 	readonly host: string
 	readonly port: number
 	/** Connections at most. */
-	readonly connections: number
+	readonly maxConnections: number
 }
 
 /** One call. */
-export interface HttpCall {
+export interface HttpRequest {
 	readonly method: 'GET' | 'POST'
 	readonly path: string
 	/** Sent as JSON. */
 	readonly body?: unknown
 	/**
 	 * Time in which the next bytes of the answer must come, in ms: a large answer takes long on a small
-	 * link. The whole of it may take {@link MOST_WAITS} times as long.
+	 * link. The whole of it may take {@link MAX_TIMEOUT_MULTIPLE} times as long.
 	 */
 	readonly timeoutMs: number
 }
 
 /** Multiple of the time for the next bytes that a whole answer may take. */
-const MOST_WAITS = 20
+const MAX_TIMEOUT_MULTIPLE = 20
 
 /** A whole answer. */
-export interface HttpReply {
+export interface HttpResponse {
 	readonly status: number
 	readonly headers: IncomingHttpHeaders
 	readonly text: string
@@ -37,15 +37,15 @@
  * other. A connection whose call ran out of time is closed, since its answer may still come.
  * @public
  */
-export class HttpCaller {
+export class HttpClient {
 	private readonly agent: Agent
 
-	constructor(private readonly options: HttpCallerOptions) {
-		this.agent = new Agent({ keepAlive: true, maxSockets: options.connections, noDelay: true })
+	constructor(private readonly options: HttpClientOptions) {
+		this.agent = new Agent({ keepAlive: true, maxSockets: options.maxConnections, noDelay: true })
 	}
 
 	/** Rejects where no whole answer came in time: the call may have been done. */
-	send(call: HttpCall): Promise<HttpReply> {
+	send(call: HttpRequest): Promise<HttpResponse> {
 		const { host, port } = this.options
 		const body = call.body === undefined ? undefined : Buffer.from(JSON.stringify(call.body))
 		const headers: Record<string, string | number> = body
@@ -64,7 +64,7 @@
 				() => outgoing.destroy(new Error(`no answer in ${call.timeoutMs} ms`)),
 				call.timeoutMs,
 			)
-			const latest = performance.now() + call.timeoutMs * MOST_WAITS
+			const latest = performance.now() + call.timeoutMs * MAX_TIMEOUT_MULTIPLE
 			const fail = (error: Error): void => {
 				clearTimeout(timer)
 				reject(error)
--- a/packages/store/src/lib/KeyValueStore.ts
+++ b/packages/store/src/lib/KeyValueStore.ts
@@ -79,4 +79,4 @@
 }
 
 /** What following a prefix needs of the service. @public */
-export type FollowedStore = Pick<KeyValueStore, 'list' | 'watch'>
+export type WatchableStore = Pick<KeyValueStore, 'list' | 'watch'>
--- a/packages/store/src/lib/PlatformClient.ts
+++ b/packages/store/src/lib/PlatformClient.ts
@@ -12,9 +12,9 @@
 /** Time-out of a client that states none. @public */
 export const DEFAULT_PLATFORM_TIMEOUT_MS: Millis = 1_000
 const WATCH_GRACE_MS: Millis = 1_000
-const DEFAULT_RETRY_MS: Millis = 1_000
+const DEFAULT_RETRY_AFTER_MS: Millis = 1_000
 
-interface Answer {
+interface PlatformResponse {
 	readonly status: number
 	readonly retryAfter: string | undefined
 	readonly body: Record<string, unknown>
@@ -33,7 +33,7 @@
 	/** Carries out one call. */
 	async call(op: PlatformOp): Promise<PlatformResult> {
 		try {
-			return await this.perform(op)
+			return await this.execute(op)
 		} catch {
 			return { kind: 'no-answer' }
 		}
@@ -44,11 +44,11 @@
 		const result = await this.call({ kind: 'get', key })
 		if (result.kind === 'value') return { value: result.value, revision: result.revision }
 		if (result.kind === 'absent') return undefined
-		throw new PlatformUnavailable(key)
+		throw new PlatformUnavailableError(key)
 	}
 
 	/** Names that the platform's lagging list calls leaving; undefined without an answer. */
-	async leavingNames(): Promise<string[] | undefined> {
+	async leavingBoxNames(): Promise<string[] | undefined> {
 		try {
 			const { status, body } = await this.send('GET', '/v1/boxes')
 			if (status !== 200) return undefined
@@ -63,7 +63,7 @@
 		await this.agent.destroy()
 	}
 
-	private async perform(op: PlatformOp): Promise<PlatformResult> {
+	private async execute(op: PlatformOp): Promise<PlatformResult> {
 		switch (op.kind) {
 			case 'get':
 				return valueResult(await this.send('GET', kvPath(op.key)))
@@ -88,7 +88,7 @@
 		}
 	}
 
-	private watch(key: string, after: number, timeoutMs: Millis): Promise<Answer> {
+	private watch(key: string, after: number, timeoutMs: Millis): Promise<PlatformResponse> {
 		const path = `/v1/watch/${encodeURIComponent(key)}?after=${after}&timeoutMs=${timeoutMs}`
 		return this.send('GET', path, undefined, timeoutMs + WATCH_GRACE_MS)
 	}
@@ -98,7 +98,7 @@
 		path: string,
 		body?: unknown,
 		timeoutMs = this.options.timeoutMs,
-	): Promise<Answer> {
+	): Promise<PlatformResponse> {
 		const reply = await request(`${this.options.url}${path}`, {
 			method,
 			dispatcher: this.agent,
@@ -119,7 +119,7 @@
 }
 
 /** Thrown where a caller cannot go on without the platform. @public */
-export class PlatformUnavailable extends Error {
+export class PlatformUnavailableError extends Error {
 	readonly kind = 'platform-unavailable'
 	constructor(readonly key: string) {
 		super(`the platform did not answer for ${key}`)
@@ -130,30 +130,30 @@
 	return `/v1/kv/${encodeURIComponent(key)}`
 }
 
-function refused(answer: Answer): PlatformResult {
+function refusedResult(answer: PlatformResponse): PlatformResult {
 	const seconds = Number(answer.retryAfter)
-	const retryAfterMs = Number.isFinite(seconds) ? seconds * 1000 : DEFAULT_RETRY_MS
+	const retryAfterMs = Number.isFinite(seconds) ? seconds * 1000 : DEFAULT_RETRY_AFTER_MS
 	return { kind: 'refused', retryAfterMs }
 }
 
-function valueResult(answer: Answer): PlatformResult {
+function valueResult(answer: PlatformResponse): PlatformResult {
 	if (answer.status === 404) return { kind: 'absent' }
-	if (answer.status === 429) return refused(answer)
+	if (answer.status === 429) return refusedResult(answer)
 	if (answer.status !== 200) return { kind: 'no-answer' }
 	return { kind: 'value', revision: Number(answer.body.revision), value: answer.body.value }
 }
 
-function writeResult(answer: Answer): PlatformResult {
+function writeResult(answer: PlatformResponse): PlatformResult {
 	const revision = Number(answer.body.revision ?? 0)
 	if (answer.status === 200) return { kind: 'written', revision }
 	if (answer.status === 409) return { kind: 'conflict', revision }
-	if (answer.status === 429) return refused(answer)
+	if (answer.status === 429) return refusedResult(answer)
 	return { kind: 'no-answer' }
 }
 
-function leaseResult(answer: Answer): PlatformResult {
+function leaseResult(answer: PlatformResponse): PlatformResult {
 	if (answer.status === 200) return { kind: 'lease', lease: String(answer.body.lease) }
 	if (answer.status === 404) return { kind: 'lease-lost' }
-	if (answer.status === 429) return refused(answer)
+	if (answer.status === 429) return refusedResult(answer)
 	return { kind: 'no-answer' }
 }
--- a/packages/store/src/lib/PrefixFollower.ts
+++ b/packages/store/src/lib/PrefixFollower.ts
@@ -1,13 +1,13 @@
 import { NO_REVISION, newestRevision, type StoreRevision } from '@stallwing/core'
 import * as E from 'fp-ts/lib/Either.js'
-import type { FollowedStore, StoreChange, StoreFault, StoreItem } from './KeyValueStore.js'
+import type { WatchableStore, StoreChange, StoreFault, StoreItem } from './KeyValueStore.js'
 
 /** Listeners and times of a {@link PrefixFollower}. @public */
-export interface FollowerOptions {
+export interface PrefixFollowerOptions {
 	readonly prefix: string
 	/** Longest wait of one watch, in ms: a watch that went silent is noticed after it. */
 	readonly waitMs: number
-	/** Pause after a failed call, in ms; doubled after each further one, up to {@link MOST_RETRY_FACTOR}. */
+	/** Pause after a failed call, in ms; doubled after each further one, up to {@link MAX_RETRY_FACTOR}. */
 	readonly retryMs: number
 	/** All items, after each change, and the revision up to which they are known. */
 	readonly onItems: (items: ReadonlyMap<string, StoreItem>, at: StoreRevision) => void
@@ -21,7 +21,7 @@
 	{ readonly kind: 'reached' } | { readonly kind: 'lost'; readonly fault: StoreFault }
 
 /** Each call is paid for, also one that is refused. */
-const MOST_RETRY_FACTOR = 8
+const MAX_RETRY_FACTOR = 8
 
 /**
  * Keeps a copy of all items below a prefix: lists them, watches from there, and lists anew when the
@@ -32,32 +32,32 @@
  */
 export class PrefixFollower {
 	private items = new Map<string, StoreItem>()
-	private after = NO_REVISION
-	private listed = false
+	private lastRevision = NO_REVISION
+	private isListed = false
 	private stopped = false
-	private reached: boolean | undefined
+	private isStoreReachable: boolean | undefined
 	private retryFactor = 1
 
 	constructor(
-		private readonly store: FollowedStore,
-		private readonly options: FollowerOptions,
+		private readonly store: WatchableStore,
+		private readonly options: PrefixFollowerOptions,
 	) {}
 
 	/** Follows until {@link stop}. */
 	async run(): Promise<void> {
 		while (!this.stopped) {
-			const fault = this.listed ? await this.watchOnce() : await this.listOnce()
+			const fault = this.isListed ? await this.watchOnce() : await this.listOnce()
 			if (fault === undefined) {
 				this.retryFactor = 1
 				continue
 			}
 			if (fault.kind === 'history-gone') {
-				this.listed = false
+				this.isListed = false
 				continue
 			}
 			this.noteContact({ kind: 'lost', fault })
 			await this.options.sleep(this.options.retryMs * this.retryFactor)
-			this.retryFactor = Math.min(MOST_RETRY_FACTOR, 2 * this.retryFactor)
+			this.retryFactor = Math.min(MAX_RETRY_FACTOR, 2 * this.retryFactor)
 		}
 	}
 
@@ -69,37 +69,38 @@
 		const result = await this.store.list(this.options.prefix)
 		if (E.isLeft(result)) return result.left
 		this.items = new Map(result.right.items.map((item) => [item.key, item]))
-		this.after = result.right.at
-		this.listed = true
+		this.lastRevision = result.right.at
+		this.isListed = true
 		this.noteContact({ kind: 'reached' })
-		if (!this.stopped) this.options.onItems(this.items, this.after)
+		if (!this.stopped) this.options.onItems(this.items, this.lastRevision)
 		return undefined
 	}
 
 	private async watchOnce(): Promise<StoreFault | undefined> {
 		const { prefix, waitMs } = this.options
-		const result = await this.store.watch(prefix, this.after, waitMs)
+		const result = await this.store.watch(prefix, this.lastRevision, waitMs)
 		if (E.isLeft(result)) return result.left
 		for (const change of result.right) this.apply(change)
 		this.noteContact({ kind: 'reached' })
-		if (result.right.length > 0 && !this.stopped) this.options.onItems(this.items, this.after)
+		if (result.right.length > 0 && !this.stopped)
+			this.options.onItems(this.items, this.lastRevision)
 		return undefined
 	}
 
 	private apply(change: StoreChange): void {
 		if (change.kind === 'written') {
 			this.items.set(change.item.key, change.item)
-			this.after = newestRevision(this.after, change.item.revision)
+			this.lastRevision = newestRevision(this.lastRevision, change.item.revision)
 			return
 		}
 		this.items.delete(change.key)
-		this.after = newestRevision(this.after, change.revision)
+		this.lastRevision = newestRevision(this.lastRevision, change.revision)
 	}
 
 	private noteContact(contact: StoreContact): void {
 		const reached = contact.kind === 'reached'
-		if (reached === this.reached) return
-		this.reached = reached
+		if (reached === this.isStoreReachable) return
+		this.isStoreReachable = reached
 		this.options.onContact(contact)
 	}
 }
--- a/packages/store/src/lib/StoreConnection.ts
+++ b/packages/store/src/lib/StoreConnection.ts
@@ -9,7 +9,7 @@
 } from './KeyValueStore.js'
 
 /** How a call ended, and the era that the answer named; undefined where it named none or did not come. */
-export interface EraAnswer<T> {
+export interface EraResponse<T> {
 	readonly era: number | undefined
 	readonly result: Either<StoreFault, T>
 }
@@ -20,29 +20,29 @@
  */
 export interface StoreConnection {
 	/** Reads all items below a prefix; with `isStale`, they may be seconds old, which is cheap. */
-	list(prefix: string, isStale: boolean): Promise<EraAnswer<StoreListing<number>>>
+	list(prefix: string, isStale: boolean): Promise<EraResponse<StoreListing<number>>>
 	watch(
 		prefix: string,
 		after: number,
 		waitMs: number,
-	): Promise<EraAnswer<readonly StoreChange<number>[]>>
+	): Promise<EraResponse<readonly StoreChange<number>[]>>
 	/** Writes an item if its revision has this number; 0: if the key is absent. */
 	write(
 		key: string,
 		value: Buffer,
 		expected: number,
 		lease?: StoreLease,
-	): Promise<EraAnswer<WriteResult<number>>>
-	lease(ttlMs: number): Promise<EraAnswer<StoreLease>>
-	read(key: string, isStale: boolean): Promise<EraAnswer<StoreItem<number> | undefined>>
+	): Promise<EraResponse<WriteResult<number>>>
+	lease(ttlMs: number): Promise<EraResponse<StoreLease>>
+	read(key: string, isStale: boolean): Promise<EraResponse<StoreItem<number> | undefined>>
 	/** A cheap read of nothing. */
-	ping(): Promise<EraAnswer<unknown>>
+	ping(): Promise<EraResponse<unknown>>
 }
 
-const LARGEST_ERA_DIGITS = 15
+const MAX_ERA_DIGITS = 15
 
 /** Reads an era as an answer spells it; undefined where it is no whole number. */
-export function readEra(text: unknown): number | undefined {
-	if (typeof text !== 'string' || text.length > LARGEST_ERA_DIGITS) return undefined
+export function parseEra(text: unknown): number | undefined {
+	if (typeof text !== 'string' || text.length > MAX_ERA_DIGITS) return undefined
 	return /^\d+$/.test(text) ? Number(text) : undefined
 }
