--- a/packages/core/src/lib/allowance/AllowanceLedger.ts
+++ b/packages/core/src/lib/allowance/AllowanceLedger.ts
@@ -63,7 +63,7 @@
 	claim(spent: Readonly<Record<AccountName, number>>): void {
 		this.spentByPredecessors = spent
 		for (const [account, tokens] of Object.entries<number>(spent)) {
-			const allowance = this.allowance(account as AccountName)
+			const allowance = this.getOrCreate(account as AccountName)
 			allowance.spentByPredecessors = tokens
 			allowance.drawn = tokens
 			allowance.spendingLimit = tokens
@@ -72,12 +72,12 @@
 
 	/** Records the tokens that a request asks for, granted or not. */
 	recordDemand(account: AccountName, tokens: number, now: Millis): void {
-		this.allowance(account).demand.add(tokens, now)
+		this.getOrCreate(account).demand.add(tokens, now)
 	}
 
 	/** Reserves the most that a request may cost. Returns false if too few tokens are available. */
 	reserve(account: AccountName, tokens: number): boolean {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		if (this.closed || allowance.frozenUntilVersion > 0) return false
 		if (this.freeOf(allowance) < tokens) return false
 		allowance.used += tokens
@@ -87,21 +87,21 @@
 	/** Ends a reservation: charges part of it and refunds the rest. */
 	settle(account: AccountName, reserved: number, charged: number): void {
 		assertInvariant(charged <= reserved, 'slice-not-overdrawn', { account, reserved, charged })
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		const refund = reserved - charged
 		if (allowance.discardsRefunds) return
 		allowance.used -= refund
 		if (allowance.isOverBudget) allowance.drawn -= refund
 	}
 
-	/** True once new reservations are refused for good. */
+	/** True once new reservations are refused permanently. */
 	get isClosed(): boolean {
 		return this.closed
 	}
 
 	/** Tokens available for reservations. */
 	free(account: AccountName): number {
-		return this.freeOf(this.allowance(account))
+		return this.freeOf(this.getOrCreate(account))
 	}
 
 	/**
@@ -109,7 +109,7 @@
 	 * this box covers them wherever they are spent.
 	 */
 	lend(account: AccountName, tokens: number): number {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		if (this.closed || allowance.frozenUntilVersion > 0) return 0
 		const lent = Math.min(tokens, Math.max(0, this.freeOf(allowance)))
 		allowance.used += lent
@@ -121,7 +121,7 @@
 	 * not cover them.
 	 */
 	lendAll(account: AccountName): number {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		if (allowance.frozenUntilVersion > 0) return 0
 		const tokens = Math.max(0, this.freeOf(allowance))
 		allowance.used += tokens
@@ -133,7 +133,7 @@
 	 * lender's `budgetsVersion` lowered the budget.
 	 */
 	borrow(account: AccountName, tokens: number, budgetsVersion: number): void {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		if (budgetsVersion >= allowance.loweredAtVersion) allowance.used -= tokens
 	}
 
@@ -142,7 +142,7 @@
 	 * any time afterwards.
 	 */
 	lowerDraw(account: AccountName, drawn: number): void {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		allowance.drawn = Math.min(allowance.drawn, drawn)
 	}
 
@@ -156,7 +156,7 @@
 		budgetsVersion: number,
 		isOverBudget: boolean,
 	): void {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		const floor = allowance.spentByPredecessors + allowance.used
 		assertInvariant(drawn >= floor, 'slice-not-overdrawn', { account, drawn, floor })
 		allowance.drawn = drawn
@@ -166,10 +166,10 @@
 
 	/**
 	 * Stops reservations until a draw under the configuration version that lowered the budget. A box that does not draw
-	 * discards its borrowed tokens for good, because it cannot tell whether the new budget covers them.
+	 * discards its borrowed tokens permanently, because it cannot tell whether the new budget covers them.
 	 */
 	freeze(account: AccountName, budgetsVersion: number): void {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		allowance.loweredAtVersion = budgetsVersion
 		if (this.claimed) {
 			allowance.frozenUntilVersion = budgetsVersion
@@ -181,30 +181,30 @@
 
 	/** Lowers the spending limit. Must be called before the lower spending limit is written to the store. */
 	lowerSpendingLimit(account: AccountName, spendingLimit: number): void {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		allowance.spendingLimit = Math.min(allowance.spendingLimit, spendingLimit)
 	}
 
 	/** Records a spending limit that the store holds now. The next process of the box may rely on it. */
 	confirmSpendingLimit(account: AccountName, spendingLimit: number): void {
-		this.allowance(account).spendingLimit = spendingLimit
+		this.getOrCreate(account).spendingLimit = spendingLimit
 	}
 
 	/**
-	 * Sets whether the stored spending limits have expired. The next process of the box does not rely on expired spending limits, so
-	 * they no longer limit spending.
+	 * Sets whether the stored spending limits have expired. The next process of the box does not rely on expired limits,
+	 * so they no longer restrict spending.
 	 */
 	setSpendingLimitsExpired(expired: boolean): void {
 		this.spendingLimitsExpired = expired
 	}
 
-	/** Refuses new reservations for good, before the box returns its unspent tokens. */
+	/** Refuses new reservations permanently, before the box returns its unspent tokens. */
 	close(): void {
 		this.closed = true
 	}
 
 	view(account: AccountName, now: Millis): AllowanceView {
-		const allowance = this.allowance(account)
+		const allowance = this.getOrCreate(account)
 		return {
 			account,
 			drawn: allowance.drawn,
@@ -217,14 +217,14 @@
 		}
 	}
 
-	private freeOf(getOrCreate: AccountAllowance): number {
+	private freeOf(allowance: AccountAllowance): number {
 		const limit = this.spendingLimitsExpired
-			? getOrCreate.drawn
-			: Math.min(getOrCreate.drawn, getOrCreate.spendingLimit)
-		return limit - getOrCreate.spentByPredecessors - getOrCreate.used
+			? allowance.drawn
+			: Math.min(allowance.drawn, allowance.spendingLimit)
+		return limit - allowance.spentByPredecessors - allowance.used
 	}
 
-	private allowance(account: AccountName): AccountAllowance {
+	private getOrCreate(account: AccountName): AccountAllowance {
 		const existing = this.accounts.get(account)
 		if (existing) return existing
 		const spentByPredecessors = this.spentByPredecessors?.[account] ?? 0
--- a/packages/core/src/lib/allowance/AllowanceRow.test.ts
+++ b/packages/core/src/lib/allowance/AllowanceRow.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest'
 import { brandId, type AccountName, type BoxName, type Incarnation } from '../ids.js'
-import { maxDrawnByOthers, isDrawKnown, type AllowanceRow, type BoxDraws } from './AllowanceRow.js'
+import { isDrawKnown, maxDrawnByOthers, type AllowanceRow, type BoxDraws } from './AllowanceRow.js'
 import { mergeLostDraws } from './mergeLostDraws.js'
 
 const ACCOUNT = brandId<AccountName>('acme')
@@ -25,18 +25,18 @@
 	return { budgetsVersion: 1, budgets: { [ACCOUNT]: 100 }, boxes: Object.fromEntries(entries) }
 }
 
-function takenByOthers(row: AllowanceRow): number {
+function maxDrawn(row: AllowanceRow): number {
 	return maxDrawnByOthers(row, ACCOUNT, box(1), 100, 2)
 }
 
 describe('the allowance row after a restore of the store', () => {
 	it('counts draws written in this era or by an older version', () => {
-		expect(takenByOthers(rowOf(draws(2, 0), draws(2, 10), draws(undefined, 5)))).toBe(15)
+		expect(maxDrawn(rowOf(draws(2, 0), draws(2, 10), draws(undefined, 5)))).toBe(15)
 	})
 
 	it('counts the whole budget as drawn while too few boxes that know the draws have written', () => {
-		expect(takenByOthers(rowOf(draws(2, 0), draws(1, 10), draws(1, 5), draws(2, 1)))).toBe(16)
-		expect(takenByOthers(rowOf(draws(2, 0), draws(1, 10), draws(1, 5), draws(1, 1)))).toBe(100)
+		expect(maxDrawn(rowOf(draws(2, 0), draws(1, 10), draws(1, 5), draws(2, 1)))).toBe(16)
+		expect(maxDrawn(rowOf(draws(2, 0), draws(1, 10), draws(1, 5), draws(1, 1)))).toBe(100)
 	})
 
 	it('does not rely on boxes that claimed in this era to know earlier draws', () => {
--- a/packages/core/src/lib/allowance/RemainingTokensCache.test.ts
+++ b/packages/core/src/lib/allowance/RemainingTokensCache.test.ts
@@ -4,8 +4,8 @@
 
 const ACCOUNT = brandId<AccountName>('acme')
 
-describe('SpentWords', () => {
-	it('remembers for a short time that too few tokens are left', () => {
+describe('RemainingTokensCache', () => {
+	it('reports for a short time that too few tokens are left', () => {
 		const cache = new RemainingTokensCache()
 		expect(cache.isSpent(ACCOUNT, 100, 1, 0)).toBe(false)
 		cache.record(ACCOUNT, 50, 1, 0)
--- a/packages/core/src/lib/allowance/RemainingTokensCache.ts
+++ b/packages/core/src/lib/allowance/RemainingTokensCache.ts
@@ -12,7 +12,7 @@
 
 /**
  * Time for which a report is used, in ms. Refunds that make tokens available again are noticed after this time. Without
- * the cache, each request of an exhausted account asks several boxes in vain.
+ * the cache, each request of an exhausted account asks several boxes without success.
  */
 const REPORT_TTL_MS: Millis = 1_500
 
--- a/packages/core/src/lib/allowance/SpendingLimits.ts
+++ b/packages/core/src/lib/allowance/SpendingLimits.ts
@@ -3,8 +3,8 @@
 import type { AllowanceView } from './AllowanceLedger.js'
 import {
 	drawnByOthers,
-	isDrawKnown,
 	hasNoBoxes,
+	isDrawKnown,
 	isWrittenInEra,
 	type AllowanceRow,
 	type BoxDraws,
@@ -19,7 +19,7 @@
 export interface SpendingLimits {
 	readonly holder: Incarnation
 	/**
-	 * Wall-clock time at which the writer requested the lease, in ms. The age of the spending limits is computed from it, because
+	 * Wall-clock time at which the writer requested the lease, in ms. The age of the limits is computed from it, because
 	 * leases may not expire while the store is down.
 	 */
 	readonly wallTime: Millis
@@ -30,8 +30,8 @@
 }
 
 /**
- * Time for which spending limits are valid after the store has granted their lease, in ms. Covers a power loss of about two
- * seconds. A box without access to the store must stay within its spending limits for as long.
+ * Time for which spending limits are valid after the store has granted their lease, in ms. Covers a power loss of about
+ * two seconds. A box without access to the store must stay within its limits for the same time.
  */
 export const SPENDING_LIMIT_VALIDITY_MS: Millis = 3_500
 /** Minimum uptime of a process before it reads the spending limits of the previous one, in ms. */
@@ -49,15 +49,15 @@
 /** Headroom near exhaustion, as a fraction of the time left. */
 const HEADROOM_FRACTION_OF_TIME_LEFT = 0.08
 /**
- * Time to exhaustion, in seconds, below which spending limits and borrowing boxes reserve little in advance. Tokens that a
- * network partition makes unavailable can be spent later, but tokens lost in a power loss are gone.
+ * Time to exhaustion, in seconds, below which spending limits and borrowing boxes reserve little in advance. Tokens that
+ * a network partition makes unavailable can be spent later, but tokens lost in a power loss cannot.
  * @public
  */
 export const NEAR_EXHAUSTION_SECONDS = 25
 
 /**
- * A spending limit is raised at once if its headroom is below this fraction of what it should be. Other spending limits wait for the
- * next regular write, to save calls to the store.
+ * A spending limit is raised immediately if its headroom is below this fraction of what it should be. Other limits wait for
+ * the next regular write, to save calls to the store.
  */
 const LOW_HEADROOM_FRACTION = 0.2
 
@@ -74,11 +74,11 @@
 	return Math.max(view.committed, Math.min(view.drawn, view.committed + Math.ceil(headroom)))
 }
 
-/** True if the headroom is so low that the new spending limit must be written at once. */
+/** True if the headroom is so low that the new spending limit must be written immediately. */
 export function isSpendingLimitLow(view: AllowanceView, next: number): boolean {
 	const allowed = view.spendingLimit - view.committed
-	const wanted = next - view.committed
-	return allowed < LOW_HEADROOM_FRACTION * wanted
+	const desired = next - view.committed
+	return allowed < LOW_HEADROOM_FRACTION * desired
 }
 
 /** What a new process knows about the previous process of its box. */
@@ -96,9 +96,9 @@
 }
 
 /**
- * Upper bound of what earlier incarnations of a box have spent: their spending limits if these were certainly valid when the
- * last one ended, otherwise their draws. If the store was restored from a backup, the row may miss the last draws and the
- * spending limits do not apply.
+ * Upper bound of what earlier incarnations of a box have spent: their spending limits if these were certainly valid when
+ * the last one ended, otherwise their draws. If the store was restored from a backup, the row may miss the last draws and
+ * the limits do not apply.
  * @public
  */
 export function maxSpentByPredecessor(
@@ -126,8 +126,8 @@
 }
 
 /**
- * True if a box may have drawn more than the row lists: the box wrote its draws in an earlier era, or the row lacks the box
- * and was not created in this era by a fleet that started for the first time.
+ * True if a box may have drawn more than the row lists: the box wrote its draws in an earlier era, or the row does not
+ * contain the box and was not created in this era by a fleet that started for the first time.
  * @public
  */
 export function mayMissDraws(
--- a/packages/core/src/lib/allowance/planDraw.ts
+++ b/packages/core/src/lib/allowance/planDraw.ts
@@ -2,11 +2,11 @@
 import type { AllowanceView } from './AllowanceLedger.js'
 import {
 	UNKNOWN_ERA,
-	maxDrawnByOthers,
+	boxesWithStaleDraws,
 	drawnByOthers,
-	isDrawKnown,
 	hasNoBoxes,
-	boxesWithStaleDraws,
+	isDrawKnown,
+	maxDrawnByOthers,
 	type AllowanceRow,
 	type BoxDraws,
 } from './AllowanceRow.js'
--- a/packages/core/src/lib/money/BudgetShardWriter.ts
+++ b/packages/core/src/lib/money/BudgetShardWriter.ts
@@ -14,9 +14,9 @@
 import { LedgerDraft } from './LedgerDraft.js'
 import {
 	LedgerUpdates,
-	type GrantRequest,
-	type FinalCounters,
 	type BudgetReplicaReport,
+	type FinalCounters,
+	type GrantRequest,
 } from './LedgerUpdates.js'
 import { ShardDraft } from './ShardDraft.js'
 import { EMPTY_COUNTERS } from './SliceLedger.js'
@@ -24,8 +24,8 @@
 	emptyZoneLedger,
 	entryKey,
 	freeInZone,
-	returnToShard,
 	parseEntryKey,
+	returnToShard,
 	type LedgerBudget,
 	type ZoneLedgerValue,
 } from './ZoneLedger.js'
@@ -378,8 +378,8 @@
 	private hasUnrecordedReturns(): boolean {
 		const zone = this.context.self.zone
 		return Object.entries(this.ledger?.value.budgets ?? {}).some(([name, row]) => {
-			const noted = this.shard?.value.budgets[name]?.zones[zone]?.returned ?? 0
-			return row.returned > noted
+			const recorded = this.shard?.value.budgets[name]?.zones[zone]?.returned ?? 0
+			return row.returned > recorded
 		})
 	}
 
@@ -396,8 +396,8 @@
 
 	/** Tokens returned in the ledger whose return is not recorded in the shard yet. */
 	private unrecordedReturn(name: BudgetName, row: LedgerBudget): Amount {
-		const noted = this.shard?.value.budgets[name]?.zones[this.context.self.zone]?.returned ?? 0
-		return Math.max(0, row.returned - noted)
+		const recorded = this.shard?.value.budgets[name]?.zones[this.context.self.zone]?.returned ?? 0
+		return Math.max(0, row.returned - recorded)
 	}
 
 	/** Recalls idle tokens from the boxes of the zone. After a timeout, reports the budget as exhausted. */
--- a/packages/core/src/lib/money/LedgerDraft.ts
+++ b/packages/core/src/lib/money/LedgerDraft.ts
@@ -1,8 +1,8 @@
 import type { BudgetName } from '../ids.js'
 import type { LogEvent } from '../router/LogEvent.js'
 import {
-	getOrCreateLedgerBudget,
 	addSealed,
+	getOrCreateLedgerBudget,
 	type LedgerBudget,
 	type ZoneLedgerValue,
 } from './ZoneLedger.js'
--- a/packages/core/src/lib/money/LedgerUpdates.ts
+++ b/packages/core/src/lib/money/LedgerUpdates.ts
@@ -9,14 +9,14 @@
 import { capToFairShare } from './capToFairShare.js'
 import {
 	billedInZone,
-	markEntryInDoubt,
 	entryKey,
 	grantToBox,
+	markEntryInDoubt,
+	parseEntryKey,
 	raiseAllotment,
 	raiseCounters,
 	releaseEntry,
 	sealEntry,
-	parseEntryKey,
 	type LedgerBudget,
 	type ReplicaReport,
 } from './ZoneLedger.js'
@@ -67,9 +67,9 @@
 	 * Seals every incarnation that a replica has reported on. A missing entry is created, because an incarnation may hold
 	 * only tokens that other boxes sent to it.
 	 */
-	applyReplicaReports(draft: LedgerDraft, testimonies: readonly BudgetReplicaReport[]): void {
+	applyReplicaReports(draft: LedgerDraft, replicaReports: readonly BudgetReplicaReport[]): void {
 		const newlySealed = new Set<string>()
-		for (const row of testimonies) {
+		for (const row of replicaReports) {
 			const key = entryKey(row.box, row.incarnation)
 			if (draft.isSealed(key)) continue
 			newlySealed.add(key)
--- a/packages/core/src/lib/money/ShardDraft.ts
+++ b/packages/core/src/lib/money/ShardDraft.ts
@@ -2,9 +2,9 @@
 import type { Amount } from '../units.js'
 import {
 	allotToZone,
+	getOrCreateZoneAllotment,
 	raiseZoneCounters,
 	unspentInShard,
-	getOrCreateZoneAllotment,
 	type BudgetShardValue,
 	type ShardBudget,
 } from './BudgetShard.js'
--- a/packages/core/src/lib/money/ZoneLedger.ts
+++ b/packages/core/src/lib/money/ZoneLedger.ts
@@ -202,8 +202,8 @@
 }
 
 /**
- * Frees the tokens in doubt of an incarnation and closes its entry. Call this only when the incarnation or an operator has
- * confirmed that they were not spent. Returns the freed amount.
+ * Frees the tokens in doubt of an incarnation and closes its entry. Call this only when the incarnation or an operator
+ * has confirmed that they were not spent. Returns the freed amount.
  * @public
  */
 export function releaseEntry(row: LedgerBudget, key: string): Amount {
--- a/packages/core/src/lib/money/money.property.test.ts
+++ b/packages/core/src/lib/money/money.property.test.ts
@@ -1,12 +1,12 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import type { BudgetName, BoxName, Incarnation, ZoneName } from '../ids.js'
+import type { BoxName, BudgetName, Incarnation, ZoneName } from '../ids.js'
 import {
 	allotToZone,
 	emptyShard,
 	freeInShard,
-	raiseZoneCounters,
 	outstandingInShard,
+	raiseZoneCounters,
 	setPrepaid,
 	type ShardBudget,
 } from './BudgetShard.js'
@@ -16,13 +16,13 @@
 	emptyZoneLedger,
 	entryKey,
 	freeInZone,
-	returnToShard,
+	getOrCreateLedgerBudget,
 	grantToBox,
 	inDoubtInZone,
-	getOrCreateLedgerBudget,
 	raiseAllotment,
 	raiseCounters,
 	releaseEntry,
+	returnToShard,
 	sealEntry,
 	type LedgerBudget,
 } from './ZoneLedger.js'
--- a/packages/core/src/lib/quarantine/CrashRecord.ts
+++ b/packages/core/src/lib/quarantine/CrashRecord.ts
@@ -12,7 +12,7 @@
 /** Crashes of targets while they ran one request. @public */
 export interface CrashRecord {
 	readonly fingerprint: RequestFingerprint
-	/** Short hash of the request; see {@link RequestQuarantine.mayHaveRecord}. */
+	/** Cheap, non-unique hash of the request; see {@link RequestQuarantine.mayHaveRecord}. */
 	readonly hint: number
 	/** Incremented when the request is cleared. Records of older generations are ignored. */
 	readonly generation: number
@@ -62,8 +62,8 @@
 }
 
 /**
- * The runs that followed one another, each starting after the previous one had ended. Targets that crash at the same time,
- * such as those of one rack, count once, because a frequent request may run on several of them.
+ * The runs that followed one another, each starting after the previous one had ended. Targets that crash at the same
+ * time, such as those of one rack, count once, because a frequent request may run on several of them.
  */
 export function consecutiveRuns(runs: readonly CrashedRun[]): readonly CrashedRun[] {
 	const consecutive: CrashedRun[] = []
--- a/packages/core/src/lib/quarantine/RequestQuarantine.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.ts
@@ -1,6 +1,6 @@
 import type { RequestFingerprint } from '../ids.js'
 import type { Millis } from '../units.js'
-import { mergeRecords, consecutiveRuns, type CrashRecord, type CrashedRun } from './CrashRecord.js'
+import { consecutiveRuns, mergeRecords, type CrashRecord, type CrashedRun } from './CrashRecord.js'
 
 /**
  * How a request is treated.
@@ -108,7 +108,7 @@
 		})
 	}
 
-	/** Merges the records of another box. Returns the records that changed. */
+	/** Merges the records of another box into those of this one. Returns the records that changed. */
 	merge(received: readonly CrashRecord[]): readonly CrashRecord[] {
 		const changed: CrashRecord[] = []
 		for (const record of received) {
@@ -168,8 +168,10 @@
 	private mayBeBystander(record: CrashRecord): boolean {
 		if (!record.isQuarantined || record.hadSecondChance) return false
 		const others = this.quarantined.filter((other) => other.fingerprint !== record.fingerprint)
-		const explainedLives = new Set(others.flatMap((other) => other.runs.map((run) => run.life)))
-		return record.runs.every((run) => explainedLives.has(run.life))
+		const explainedIncarnations = new Set(
+			others.flatMap((other) => other.runs.map((run) => run.life)),
+		)
+		return record.runs.every((run) => explainedIncarnations.has(run.life))
 	}
 
 	private evictLeastInformative(): void {
--- a/packages/core/src/lib/quarantine/crashModel.test.ts
+++ b/packages/core/src/lib/quarantine/crashModel.test.ts
@@ -41,7 +41,7 @@
 		})
 	})
 
-	it('several of them crash few targets each, and at most a fifth of the harmless tries is refused', () => {
+	it('several of them crash few targets each, and at most 1 in 5 harmless tries is refused', () => {
 		checkRuns(fc.integer({ min: 2, max: 5 }), (r) => {
 			return r.maxCrashesPerRequest <= MAX_CRASHES && r.harmlessRefused <= r.harmlessTries / 5
 		})
--- a/packages/core/src/lib/retry/RetryBudget.test.ts
+++ b/packages/core/src/lib/retry/RetryBudget.test.ts
@@ -6,7 +6,7 @@
 const LIMITS: RetryLimits = { ratio: 0.2, slack: 50, windowMs: 10_000 }
 const HOUR_MS = 3_600_000
 
-describe('RepeatBudget', () => {
+describe('RetryBudget', () => {
 	it('keeps only the first attempts of its window, even without retries', () => {
 		const budget = new RetryBudget()
 		for (let now = 0; now < HOUR_MS; now += 100) budget.recordFirstAttempt(LIMITS, now)
--- a/packages/core/src/lib/retry/decideAfterAttempt.test.ts
+++ b/packages/core/src/lib/retry/decideAfterAttempt.test.ts
@@ -28,7 +28,7 @@
 		fc.assert(
 			fc.property(
 				result,
-				fc.record({ ...arbitraryFlags(), leftMs: fc.nat(60) }),
+				fc.record({ ...arbitraryFlags(), remainingMs: fc.nat(60) }),
 				(outcome, facts) => {
 					const step = decideAfterAttempt(outcome, {
 						...FACTS,
@@ -60,7 +60,7 @@
 	})
 })
 
-describe('RepeatBudget', () => {
+describe('RetryBudget', () => {
 	it('keeps the retries of all boxes within the limit in every window', () => {
 		const limits = { ratio: 0.2, slack: 50, windowMs: 10_000 }
 		const boxes = 5
