--- a/packages/gateway/src/lib/AllowanceClaimer.ts
+++ b/packages/gateway/src/lib/AllowanceClaimer.ts
@@ -16,33 +16,32 @@
 import type { AllowanceState } from './AllowanceState.js'
 import type { SpendingLimitRecord } from './SpendingLimitRecord.js'
 
-/** What an {@link AllowanceClaimer} works with. */
 export interface AllowanceClaimerOptions extends AllowanceDrawerOptions {
 	readonly spendingLimits: SpendingLimitRecord
 }
 
-/** What the earlier incarnation had promised when this one looked. */
+/** Spending limits that the previous process of this box stored. */
 interface PreviousSpendingLimits {
-	readonly mark: SpendingLimits | undefined
-	/** Time of day when this incarnation started, in ms. */
+	readonly spendingLimits: SpendingLimits | undefined
+	/** Wall-clock time at which this process started, in ms. */
 	readonly startedAt: number
 }
 
 const MAX_CLAIM_CONFLICT_DELAY_MS = 40
 /**
- * Time that a new process waits for others to write what the one before it drew, in ms: after it, all that nobody is
- * known to have drawn counts as spent.
+ * Time to wait for other boxes to write the draws that the previous process replicated to them, in ms.
+ * Afterwards the unallocated part of every budget counts as spent.
  */
 const REPLICATED_DRAWS_WAIT_MS = 5_000
 
-/** Claims the right to draw for this box: from then on an earlier process of it has lost that right. */
+/** Claims the exclusive right to draw for this process. An earlier process of the same box loses it. */
 export class AllowanceClaimer {
 	private readonly spendingLimits: SpendingLimitRecord
 	private readonly record: AllowanceRecord
 	private readonly state: AllowanceState
 	private previousSpendingLimits: PreviousSpendingLimits | undefined
 	private uncertainSince: number | undefined
-	private claimedEra = 0
+	private eraOfClaim = 0
 
 	constructor(private readonly options: AllowanceClaimerOptions) {
 		this.spendingLimits = options.spendingLimits
@@ -50,12 +49,15 @@
 		this.state = options.state
 	}
 
-	/** Era of the store in which this process claimed. */
-	get claimedIn(): number {
-		return this.claimedEra
+	/** Store era in which this process made its claim; 0 before. */
+	get claimedInEra(): number {
+		return this.eraOfClaim
 	}
 
-	/** True once others had the time to write what they remember of the earlier process. */
+	/**
+	 * True once other boxes have had {@link REPLICATED_DRAWS_WAIT_MS} to write the draws of the previous
+	 * process.
+	 */
 	private hasWaitedForReplicatedDraws(): boolean {
 		const now = this.options.now()
 		if (this.uncertainSince === undefined) {
@@ -67,39 +69,44 @@
 		return now - this.uncertainSince >= REPLICATED_DRAWS_WAIT_MS
 	}
 
-	/** Claims once; false where the store did not grant it. */
+	/** Tries to claim once. Returns false if a store call failed or the claim has to wait. */
 	async claim(): Promise<boolean> {
 		const { box, holder, address, isFirstStart } = this.options
-		const found = await this.readPreviousSpendingLimits()
-		if (E.isLeft(found)) return false
+		const previous = await this.readPreviousSpendingLimits()
+		if (E.isLeft(previous)) return false
 		if (await this.record.read()) return false
 		const { era, row } = this.record
-		const before = row.boxes[box]
+		const previousDraws = row.boxes[box]
 		const isUncertain = mayMissDraws(row, { box, era, isFirstStart })
-		// How much may be missing is counted by the budgets: they come with the configuration.
+		// The size of the missing draws is estimated from the budgets, which arrive with the configuration.
 		if (isUncertain && this.state.budgets.version === 0) return false
 		if (isUncertain && !isDrawKnown(row, box, era) && !this.hasWaitedForReplicatedDraws())
 			return false
 		const budgets = maxByAccount(row.budgets, this.state.budgets.tokens)
-		const { mark, startedAt } = found.right
-		const facts = { box, mark, startedAt, era, budgets, isFirstStart }
+		const { spendingLimits, startedAt } = previous.right
+		const facts = { box, mark: spendingLimits, startedAt, era, budgets, isFirstStart }
 		const spent = maxSpentByPredecessor(row, facts)
-		const next = planClaim(row, { box, holder, address, spent, era, isFirstStart })
-		const result = await this.record.write(next)
+		const claimedRow = planClaim(row, { box, holder, address, spent, era, isFirstStart })
+		const result = await this.record.write(claimedRow)
 		if (E.isLeft(result)) return false
-		// Another box wrote first, or a write of ours whose answer was lost: claiming again does no harm.
+		// Another box wrote first, or a previous write succeeded without an answer. Retrying is safe.
 		if (result.right === 'conflict') {
 			await this.options.sleep(this.options.random() * MAX_CLAIM_CONFLICT_DELAY_MS)
 			return this.claim()
 		}
-		this.state.book.claim(spent)
-		this.claimedEra = era
-		this.logClaim(found.right, isUncertain, totalTokens(before?.drawn), totalTokens(spent))
+		this.state.ledger.claim(spent)
+		this.eraOfClaim = era
+		this.logClaim(
+			previous.right,
+			isUncertain,
+			totalTokens(previousDraws?.drawn),
+			totalTokens(spent),
+		)
 		return true
 	}
 
 	private logClaim(
-		found: PreviousSpendingLimits,
+		previous: PreviousSpendingLimits,
 		isUncertain: boolean,
 		drawnBefore: number,
 		spentBefore: number,
@@ -109,8 +116,10 @@
 			fields: {
 				holder: this.options.holder,
 				revision: describeRevision(this.record.revision ?? NO_REVISION),
-				promise: found.mark?.holder ?? '',
-				promiseAgeMs: found.mark ? Math.round(found.startedAt - found.mark.wallTime) : -1,
+				promise: previous.spendingLimits?.holder ?? '',
+				promiseAgeMs: previous.spendingLimits
+					? Math.round(previous.startedAt - previous.spendingLimits.wallTime)
+					: -1,
 				isUncertain,
 				drawnBefore,
 				spentBefore,
@@ -118,7 +127,7 @@
 		})
 	}
 
-	/** The promise of the earlier incarnation, read once: a later look would find its lease over. */
+	/** Reads the spending limits of the previous process. The result is cached because their lease expires. */
 	private async readPreviousSpendingLimits(): Promise<
 		E.Either<StoreFault, PreviousSpendingLimits>
 	> {
@@ -126,7 +135,7 @@
 		const read = await this.spendingLimits.readPrevious()
 		if (E.isLeft(read)) return E.left(this.record.noteFault(read.left))
 		const startedAt = this.options.wallTime() - this.options.uptimeMs()
-		this.previousSpendingLimits = { mark: read.right, startedAt }
+		this.previousSpendingLimits = { spendingLimits: read.right, startedAt }
 		return E.right(this.previousSpendingLimits)
 	}
 }
--- a/packages/gateway/src/lib/AllowanceClient.test.ts
+++ b/packages/gateway/src/lib/AllowanceClient.test.ts
@@ -10,63 +10,63 @@
 	advance,
 } from './testBudgetFleet.js'
 
-/** Randomised days and their seed; by hand, more and others. */
+/** Number and seed of the randomised runs; environment variables override both. */
 const PROPERTY_RUNS = Number(process.env['MONEY_RUNS'] ?? 300)
 const PROPERTY_SEED = Number(process.env['MONEY_SEED'] ?? 20261202)
 const BUDGET = 10_000
-/** A budget whose end is far: ceilings are at their widest. */
+/** A budget that is far from exhausted, so that spending limits are at their highest. */
 const LARGE_BUDGET = 30_000
-/** A budget that runs dry within a randomised run: only then does a token too many show. */
+/** A budget that a randomised run exhausts, so that overspending shows. */
 const SMALL_BUDGET = 3_000
 const LOWERED_BUDGET = 1_200
-/** Times for which machines are suspended, in ms. */
+/** Durations for which boxes are suspended, in ms. */
 const SUSPENSIONS_MS = [100, 700, 2_000, 3_600, 8_000, 30_000]
 
-/** One thing that happens, after a pause. */
+/** An event, followed by a delay. */
 interface FleetEvent {
-	readonly pauseMs: number
+	readonly delayMs: number
 	readonly box: number
 	readonly kind:
-		| 'ask'
+		| 'request'
 		| 'kill'
 		| 'stop'
 		| 'cut'
-		| 'heal'
-		| 'storm'
-		| 'calm'
+		| 'reconnect'
+		| 'store-faults'
+		| 'no-store-faults'
 		| 'lower'
 		| 'raise'
 		| 'suspend'
-		| 'set-time'
+		| 'set-wall-clock'
 	readonly tokens: number
-	/** Part of the reservation that is charged. */
-	readonly chargedPart: number
+	/** Fraction of the reserved tokens that is charged. */
+	readonly chargedFraction: number
 }
 
 const fleetEvent: fc.Arbitrary<FleetEvent> = fc.record({
-	pauseMs: fc.constantFrom(1, 5, 40, 200, 900, 2_500),
+	delayMs: fc.constantFrom(1, 5, 40, 200, 900, 2_500),
 	box: fc.nat({ max: BOXES.length - 1 }),
 	kind: fc.constantFrom(
 		...([
-			'ask',
-			'ask',
-			'ask',
-			'ask',
-			'ask',
+			'request',
+			'request',
+			'request',
+			'request',
+			'request',
 			'kill',
 			'stop',
 			'cut',
-			'heal',
-			'storm',
-			'calm',
+			'reconnect',
+			'store-faults',
+			'no-store-faults',
 			'lower',
 			'raise',
 			'suspend',
-			'set-time',
+			'set-wall-clock',
 		] as const),
 	),
 	tokens: fc.integer({ min: 1, max: 400 }),
-	chargedPart: fc.constantFrom(0, 0.3, 1, 1, 1),
+	chargedFraction: fc.constantFrom(0, 0.3, 1, 1, 1),
 })
 
 describe('AllowanceClient', () => {
@@ -74,35 +74,35 @@
 	afterEach(() => void vi.useRealTimers())
 
 	it.each([
-		['each draws', BOXES],
-		['one draws for all', ['box-1']],
-		['two draw for all', ['box-1', 'box-2']],
-	])('never lets the boxes together spend more than the budget: %s', async (_name, drawing) => {
+		['all boxes draw', BOXES],
+		['one box draws', ['box-1']],
+		['two boxes draw', ['box-1', 'box-2']],
+	])('never spends more than the budget in the whole fleet: %s', async (_name, drawingBoxes) => {
 		const runs = fc.asyncProperty(
 			fc.array(fleetEvent, { minLength: 40, maxLength: 120 }),
 			fc.nat({ max: 1_000 }),
-			async (happenings, fateSeed) => {
-				const fleet = new BudgetTestFleet(SMALL_BUDGET, fateSeed, drawing)
+			async (events, faultSeed) => {
+				const fleet = new BudgetTestFleet(SMALL_BUDGET, faultSeed, drawingBoxes)
 				await advance(fleet, CLAIM_ALL_MS)
-				// What was spent or set aside when a budget was lowered below it can't be taken back.
-				let bound = SMALL_BUDGET
-				let revision = 1
-				for (const { kind, box, tokens, chargedPart, pauseMs } of happenings) {
+				// Tokens that were spent or reserved before a budget was reduced cannot be taken back.
+				let maxSpent = SMALL_BUDGET
+				let version = 1
+				for (const { kind, box, tokens, chargedFraction, delayMs } of events) {
 					const name = BOXES[box] ?? BOXES[0]
-					if (kind === 'ask') void fleet.request(name, tokens, chargedPart)
+					if (kind === 'request') void fleet.request(name, tokens, chargedFraction)
 					else if (kind === 'kill') fleet.kill(name)
 					else if (kind === 'stop') void fleet.stop(name)
 					else if (kind === 'suspend')
 						fleet.suspend(name, SUSPENSIONS_MS[tokens % SUSPENSIONS_MS.length] ?? 0)
-					else if (kind === 'set-time') fleet.setWallClockOffset(name, (tokens - 200) * 50)
-					else if (kind === 'cut' || kind === 'heal') fleet.setCutOff(name, kind === 'cut')
+					else if (kind === 'set-wall-clock') fleet.setWallClockOffset(name, (tokens - 200) * 50)
+					else if (kind === 'cut' || kind === 'reconnect') fleet.setCutOff(name, kind === 'cut')
 					else if (kind === 'lower' || kind === 'raise') {
 						const budget = kind === 'lower' ? LOWERED_BUDGET : SMALL_BUDGET
-						fleet.setBudgets(++revision, { [ACCOUNT]: budget })
-						bound = Math.max(budget, fleet.spent)
-					} else fleet.setStoreFaults(kind === 'storm')
-					await advance(fleet, pauseMs)
-					expect(fleet.spent).toBeLessThanOrEqual(bound)
+						fleet.setBudgets(++version, { [ACCOUNT]: budget })
+						maxSpent = Math.max(budget, fleet.spent)
+					} else fleet.setStoreFaults(kind === 'store-faults')
+					await advance(fleet, delayMs)
+					expect(fleet.spent).toBeLessThanOrEqual(maxSpent)
 				}
 				expect(fleet.unreadableRecords).toBe(0)
 				vi.clearAllTimers()
@@ -112,22 +112,25 @@
 	})
 
 	it.each([
-		['each draws', BOXES],
-		['one draws for all', ['box-1']],
-	])('spends nearly all of a budget, wherever the requests arrive: %s', async (_name, drawing) => {
-		const fleet = new BudgetTestFleet(BUDGET, 0, drawing, drawing === BOXES)
-		await advance(fleet, CLAIM_ALL_MS)
-		for (let i = 0; i < 400; i++) {
-			void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 40, 1)
-			await advance(fleet, 50)
-		}
-		expect(fleet.spent).toBeGreaterThan(0.97 * BUDGET)
-	})
+		['all boxes draw', BOXES],
+		['one box draws', ['box-1']],
+	])(
+		'spends nearly all of a budget, whichever boxes receive the requests: %s',
+		async (_name, drawingBoxes) => {
+			const fleet = new BudgetTestFleet(BUDGET, 0, drawingBoxes, drawingBoxes === BOXES)
+			await advance(fleet, CLAIM_ALL_MS)
+			for (let i = 0; i < 400; i++) {
+				void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 40, 1)
+				await advance(fleet, 50)
+			}
+			expect(fleet.spent).toBeGreaterThan(0.97 * BUDGET)
+		},
+	)
 
 	it.each([
 		['a kill', 600],
 		['a loss of power', 2_200],
-	])('takes only the promised ceiling as spent after %s', async (_name, downMs) => {
+	])('counts only the spending limits as spent after %s', async (_name, downMs) => {
 		const fleet = new BudgetTestFleet(BUDGET, 0)
 		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 100; i++) {
@@ -140,21 +143,22 @@
 			void fleet.request(BOXES[i % BOXES.length] ?? BOXES[0], 20, 1)
 			await advance(fleet, 50)
 		}
-		// Near its end a ceiling allows half a second of demand in advance, at each box.
+		// Near exhaustion, the spending limit of each box exceeds its spent tokens by half a second of demand.
 		expect(fleet.spent).toBeGreaterThan(0.92 * BUDGET)
 		expect(fleet.spent).toBeLessThanOrEqual(BUDGET)
 	})
 
-	it('takes all that was drawn as spent when the promise may have been over', async () => {
+	it('counts all drawn tokens as spent if the spending limits may have expired', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0)
 		await advance(fleet, CLAIM_ALL_MS)
 		expect(await requestAndWait(fleet, 'box-1', 500)).toBe(true)
 		fleet.setCutOff('box-1', true)
 		await advance(fleet, 6_000)
-		// Beyond the promise, the box spends all that it drew.
-		let spentInCut = 0
-		for (let i = 0; i < 40; i++) if (await requestAndWait(fleet, 'box-1', 50)) spentInCut += 50
-		expect(spentInCut).toBeGreaterThan(0)
+		// After its spending limits have expired, the box spends all that it drew.
+		let spentWhileCutOff = 0
+		for (let i = 0; i < 40; i++)
+			if (await requestAndWait(fleet, 'box-1', 50)) spentWhileCutOff += 50
+		expect(spentWhileCutOff).toBeGreaterThan(0)
 		fleet.kill('box-1')
 		fleet.setCutOff('box-1', false)
 		await advance(fleet, 2_000)
@@ -163,16 +167,16 @@
 		expect(fleet.spent).toBeLessThanOrEqual(BUDGET)
 	})
 
-	it('gives back what is free when it stops, and hands it over when the store is away', async () => {
-		for (const cut of [false, true]) {
+	it('returns its free tokens when it stops, or transfers them if the store is unreachable', async () => {
+		for (const isCutOff of [false, true]) {
 			const fleet = new BudgetTestFleet(BUDGET, 0)
 			await advance(fleet, CLAIM_ALL_MS)
 			for (let i = 0; i < 20; i++) {
 				void fleet.request('box-1', 100, 1)
 				await advance(fleet, 50)
 			}
-			fleet.setCutOff('box-1', cut)
-			await advance(fleet, cut ? SPENDING_LIMIT_VALIDITY_MS + 3_000 : 0)
+			fleet.setCutOff('box-1', isCutOff)
+			await advance(fleet, isCutOff ? SPENDING_LIMIT_VALIDITY_MS + 3_000 : 0)
 			void fleet.stop('box-1')
 			await advance(fleet, 4_000)
 			fleet.setCutOff('box-1', false)
@@ -183,13 +187,13 @@
 		}
 	})
 
-	it('keeps to a lowered budget, also for an account that was away in between', async () => {
-		for (const between of [undefined, {}]) {
+	it('enforces a reduced budget, also for an account that was removed in between', async () => {
+		for (const budgetsBetween of [undefined, {}]) {
 			const fleet = new BudgetTestFleet(BUDGET, 0)
 			await advance(fleet, CLAIM_ALL_MS)
 			for (let i = 0; i < 10; i++)
 				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
-			if (between) fleet.setBudgets(2, between)
+			if (budgetsBetween) fleet.setBudgets(2, budgetsBetween)
 			fleet.setBudgets(3, { [ACCOUNT]: 1_500 })
 			for (let i = 0; i < 60; i++)
 				await requestAndWait(fleet, BOXES[i % BOXES.length] ?? BOXES[0], 100)
@@ -202,7 +206,7 @@
 		}
 	})
 
-	it('keeps to a lowered budget where other boxes draw', async () => {
+	it('enforces a reduced budget on a box that borrows', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1'])
 		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 10; i++) void fleet.request('box-3', 100, 0.2)
@@ -217,7 +221,7 @@
 		expect(fleet.spent).toBeLessThanOrEqual(3_000)
 	})
 
-	it('serves a box that does not draw through a cut of all boxes from the store', async () => {
+	it('keeps lending to a box that does not draw while all boxes are cut off from the store', async () => {
 		const fleet = new BudgetTestFleet(LARGE_BUDGET, 0, ['box-1'], false)
 		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 60; i++) {
@@ -233,14 +237,16 @@
 		expect(fleet.spent - before).toBeGreaterThan(0.97 * 60 * 20)
 	})
 
-	it('goes to the next box where one is late, and keeps the tokens that come late', async () => {
+	it('contacts the next lender if one is late, and keeps the tokens that arrive late', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1', 'box-2'], false, { 'box-1': 700 })
 		await advance(fleet, CLAIM_ALL_MS)
-		const began = Date.now()
-		const first = fleet.request('box-3', 300, 1).then((got) => ({ got, after: Date.now() - began }))
+		const startedAt = Date.now()
+		const first = fleet
+			.request('box-3', 300, 1)
+			.then((isReserved) => ({ isReserved, afterMs: Date.now() - startedAt }))
 		await advance(fleet, 400)
-		expect(await first).toEqual({ got: true, after: expect.any(Number) })
-		expect((await first).after).toBeLessThan(200)
+		expect(await first).toEqual({ isReserved: true, afterMs: expect.any(Number) })
+		expect((await first).afterMs).toBeLessThan(200)
 		await advance(fleet, 800)
 		for (const box of BOXES) fleet.setCutOff(box, true)
 		fleet.kill('box-2')
@@ -249,7 +255,7 @@
 		expect(await second).toBe(true)
 	})
 
-	it('claims nothing and calls the store for nothing where it does not draw', async () => {
+	it('makes no claim and no store call on a box that does not draw', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1'])
 		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 10; i++) await requestAndWait(fleet, 'box-3', 50)
@@ -257,7 +263,7 @@
 		expect(fleet.storeCallsOf('box-3')).toBe(0)
 	})
 
-	it('writes little for requests that no draw can serve', async () => {
+	it('rarely writes to the store for requests that no draw can serve', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0, ['box-1', 'box-2'], false)
 		await advance(fleet, CLAIM_ALL_MS)
 		for (let i = 0; i < 18; i++) {
@@ -270,33 +276,34 @@
 			void fleet.request('box-3', 1_100, 1)
 			await advance(fleet, 20)
 		}
-		// Two seconds: a promise of each lender is renewed, and each tells the other once a second.
+		// Within these two seconds, each lender only renews its spending limits and publishes its spent tokens
+		// about once per second.
 		expect((fleet.store.calls.get('write') ?? 0) - before).toBeLessThan(12)
 	})
 
-	it('goes on drawing after a record that it could not read', async () => {
+	it('resumes drawing after it read an invalid record', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0)
 		await advance(fleet, CLAIM_ALL_MS)
-		const good = fleet.store.text('allowance') ?? ''
+		const validRecord = fleet.store.text('allowance') ?? ''
 		fleet.store.put('allowance', 'not a record')
 		await advance(fleet, 3_000)
 		expect(await requestAndWait(fleet, 'box-1', 9_000)).toBe(false)
-		fleet.store.put('allowance', good)
+		fleet.store.put('allowance', validRecord)
 		await advance(fleet, 3_000)
 		expect(await requestAndWait(fleet, 'box-1', 2_000)).toBe(true)
 	})
 
-	it('answers at once when the store and the other boxes have nothing', async () => {
+	it('refuses quickly if neither the store nor another box has tokens left', async () => {
 		const fleet = new BudgetTestFleet(100, 0)
 		await advance(fleet, CLAIM_ALL_MS)
 		expect(await requestAndWait(fleet, 'box-1', 60)).toBe(true)
 		const before = Date.now()
 		const second = fleet
 			.request('box-2', 60, 1)
-			.then((got) => ({ got, after: Date.now() - before }))
+			.then((isReserved) => ({ isReserved, afterMs: Date.now() - before }))
 		await vi.advanceTimersByTimeAsync(2_000)
-		const { got, after } = await second
-		expect(got).toBe(false)
-		expect(after).toBeLessThan(500)
+		const { isReserved, afterMs } = await second
+		expect(isReserved).toBe(false)
+		expect(afterMs).toBeLessThan(500)
 	})
 })
--- a/packages/gateway/src/lib/AllowanceClient.ts
+++ b/packages/gateway/src/lib/AllowanceClient.ts
@@ -18,29 +18,34 @@
 	type TokenPeers,
 } from './TokenLending.js'
 
-/** What an {@link AllowanceClient} works with. */
-export interface AllowanceClientOptions extends Omit<DrawOptions, 'telling'> {
-	/** Key of the shared record in the store. */
+export interface AllowanceClientOptions extends Omit<DrawOptions, 'replicator'> {
+	/** Store key of the shared draw record. */
 	readonly recordKey: string
 	readonly tokenPeers: TokenPeers
-	/** Addresses of other boxes that keep the record, those to be told of draws first in front. */
+	/** Addresses of the boxes that store replicas of draws, in order of preference. */
 	readonly replicaAddresses: () => readonly string[]
-	/** Addresses of the boxes to be asked for tokens, in order, where this box does not draw. */
+	/** Addresses of the boxes that lend tokens of an account, in order of preference. */
 	readonly lenderAddresses: (account: AccountName) => readonly string[]
 }
 
 const MAX_RETURN_ATTEMPTS = 2
 const RETURN_RETRY_DELAY_MS = 200
-/** Longest wait of another box for a draw, in ms: shorter than its patience with this box. */
+/**
+ * Maximum time that a loan request waits for a draw, in ms. It must be shorter than the time that the borrower
+ * waits for the response.
+ */
 const MAX_LEND_DRAW_WAIT_MS = 70
-/** Time to the end of a budget above which tokens are lent in advance, in seconds. */
+/** Minimum time to the exhaustion of a budget, in seconds, for tokens to be lent beyond the request. */
 const MIN_PREFETCH_SECONDS_LEFT = 8
-/** Part of what is free that is lent in advance at most. */
+/** Maximum fraction of the free tokens that is lent beyond the request. */
 const MAX_PREFETCH_FRACTION = 0.1
-/** Part of what is asked for in advance that is lent near the end of a budget. */
+/** Fraction of the requested prefetch that is lent while a budget is nearly exhausted. */
 const NEAR_EXHAUSTION_PREFETCH_FRACTION = 0.25
 
-/** This box's part of the token budgets: draws from the store, and reservations from the draws. */
+/**
+ * Manages this box's share of the token budgets: draws it from the store, reserves tokens for requests, and
+ * exchanges tokens with other boxes.
+ */
 export class AllowanceClient {
 	private readonly state: AllowanceState
 	private readonly record: AllowanceRecord
@@ -51,14 +56,14 @@
 	constructor(private readonly options: AllowanceClientOptions) {
 		this.record = new AllowanceRecord(options)
 		this.state = new AllowanceState({ ...options, record: this.record })
-		const telling = new DrawReplicator({
-			others: options.replicaAddresses,
-			tell: (address, told) => options.tokenPeers.sendDraws(address, told),
+		const replicator = new DrawReplicator({
+			replicaAddresses: options.replicaAddresses,
+			send: (address, draws) => options.tokenPeers.sendDraws(address, draws),
 			sleep: options.sleep,
 		})
 		this.drawer = new AllowanceDrawer({
 			...options,
-			telling,
+			replicator,
 			record: this.record,
 			state: this.state,
 		})
@@ -68,124 +73,124 @@
 		})
 	}
 
-	/** True where requests need not wait for the store. */
+	/** True if requests can be served without waiting for a claim in the store. */
 	get isReady(): boolean {
 		return this.drawer.claimed || !this.options.isLender()
 	}
 
-	/** Claims the right to draw, trying until the store grants it. */
+	/** Claims the right to draw, retrying until the claim succeeds or this client closes. */
 	claim(): Promise<void> {
 		return this.drawer.claim()
 	}
 
 	/**
-	 * Another box told of its draws. False where they are of a history that is over, and before this box has claimed: it
-	 * would not count as one that may know of them.
+	 * Stores draws that another box has made. Returns false if they belong to a past era of the store, or if
+	 * this box has not claimed yet: it would then not count as a replica.
 	 */
-	receiveDraws(told: ReplicatedDraws): boolean {
-		return this.drawer.claimed && this.record.receiveDraws(told)
+	receiveDraws(draws: ReplicatedDraws): boolean {
+		return this.drawer.claimed && this.record.receiveDraws(draws)
 	}
 
-	/** The store came back from a copy. */
+	/** Writes the draws of this box again after the store was restored from a backup. */
 	onEraChange(): void {
 		void this.drawer.onEraChange()
 	}
 
-	/** Takes the budgets of a new configuration. A lowered one is frozen until the next draw. */
+	/** Applies the budgets of a new configuration. A reduced budget is frozen until the next draw. */
 	setBudgets(budgets: Budgets): void {
 		this.state.setBudgets(budgets)
 		void this.drawer.draw()
 	}
 
 	/**
-	 * Sets tokens aside. Where this box holds too little, it draws from the store if it is a lender and
-	 * the store answers, and asks other boxes otherwise.
+	 * Reserves tokens for a request. If this box holds too few, it draws from the store if it can, and otherwise
+	 * borrows from other boxes.
 	 */
-	async reserve(account: AccountName, tokens: number, patienceMs: number): Promise<ReserveResult> {
-		const { book } = this.state
-		book.recordDemand(account, tokens, this.options.now())
+	async reserve(account: AccountName, tokens: number, timeoutMs: number): Promise<ReserveResult> {
+		const { ledger } = this.state
+		ledger.recordDemand(account, tokens, this.options.now())
 		this.drawer.updateSpendingLimitExpiry()
-		if (book.reserve(account, tokens)) return 'reserved'
+		if (ledger.reserve(account, tokens)) return 'reserved'
 		if (this.state.isSpent(account, tokens)) return 'spent'
-		if (this.isClosed || patienceMs <= 0) return 'unknown'
+		if (this.isClosed || timeoutMs <= 0) return 'unknown'
 		const attainable = Math.min(tokens, this.drawer.attainableTokens(account))
-		if (attainable > book.free(account)) {
-			const result = await this.drawer.waitForDraw(account, attainable, patienceMs)
+		if (attainable > ledger.free(account)) {
+			const result = await this.drawer.waitForDraw(account, attainable, timeoutMs)
 			if (attainable === tokens && (result !== 'unknown' || !this.drawer.claimed)) return result
-			if (result === 'reserved') book.settle(account, attainable, 0)
+			if (result === 'reserved') ledger.settle(account, attainable, 0)
 		}
-		const missing = tokens - Math.max(0, book.free(account))
-		if (this.lending.isKnownSpent(account, missing, this.state.budgets.version)) return 'spent'
-		const result = await this.lending.borrow(book, account, tokens)
+		const shortfall = tokens - Math.max(0, ledger.free(account))
+		if (this.lending.isKnownSpent(account, shortfall, this.state.budgets.version)) return 'spent'
+		const result = await this.lending.borrow(ledger, account, tokens)
 		if (result === 'reserved') return result
-		// What was gathered in vain is of more use at a lender.
+		// This box cannot draw, so the tokens that it gathered are more useful to a lender.
 		if (!this.drawer.claimed)
-			void this.lending.transferUnspent(book, account, this.state.budgets.version)
+			void this.lending.transferUnspent(ledger, account, this.state.budgets.version)
 		return this.state.isSpent(account, tokens) ? 'spent' : result
 	}
 
 	/**
-	 * Hands tokens to another box, after a draw where this box holds too little. Undefined once this box
-	 * has given back what it held.
+	 * Lends tokens to another box, drawing first if this box holds too few. Returns undefined once this box is
+	 * closed.
 	 */
 	async lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined> {
-		const { book } = this.state
+		const { ledger } = this.state
 		if (this.isClosed) return undefined
 		if (!this.canLend) return EMPTY_LEND_RESPONSE
-		book.recordDemand(account, request.tokens, this.options.now())
+		ledger.recordDemand(account, request.tokens, this.options.now())
 		this.drawer.updateSpendingLimitExpiry()
-		const needed = await this.takeForLoan(account, request.tokens)
+		const granted = await this.takeForLoan(account, request.tokens)
 		const lent =
-			needed < request.tokens ? needed : needed + this.lendPrefetch(account, request.ahead)
+			granted < request.tokens ? granted : granted + this.lendPrefetch(account, request.ahead)
 		const left = this.state.maxRemaining(account)
 		this.options.log({ name: 'allowance-lent', fields: { account, ...request, lent, left } })
-		const free = Math.max(0, book.free(account))
-		const { nearlySpentAccounts: nearlySpent, budgets } = this.state
-		return { lent, left, free, budgetsVersion: budgets.version, nearlySpent }
+		const free = Math.max(0, ledger.free(account))
+		const { nearlySpentAccounts, budgets } = this.state
+		return { lent, left, free, budgetsVersion: budgets.version, nearlySpent: nearlySpentAccounts }
 	}
 
-	/** Ends a reservation. */
+	/** Ends a reservation: keeps the charged tokens and frees the rest. */
 	settle(account: AccountName, reserved: number, charged: number): void {
-		this.state.book.settle(account, reserved, charged)
+		this.state.ledger.settle(account, reserved, charged)
 	}
 
-	/** Renews draws that run low and gives back what is too much. To be called some times a second. */
+	/** Tops up low draws and returns excess ones. Must be called several times per second. */
 	maintain(): Promise<void> {
 		return this.drawer.maintain()
 	}
 
-	/** Stops reservations and gives back what is free. */
+	/** Stops reservations and returns the free tokens: to the store, or to another box if the store fails. */
 	async returnUnspent(): Promise<void> {
-		this.state.book.close()
+		this.state.ledger.close()
 		this.isClosed = true
 		this.drawer.close()
-		// A write without an answer may still be done: after one, nothing may go to another box.
+		// A write without an answer may still take effect, so after one the tokens must not go to another box.
 		if (!this.drawer.claimed || (await this.record.refresh())) {
 			await this.transferUnspent()
 			return
 		}
-		for (let tries = 0; this.drawer.claimed && tries < MAX_RETURN_ATTEMPTS; tries++) {
+		for (let attempt = 0; this.drawer.claimed && attempt < MAX_RETURN_ATTEMPTS; attempt++) {
 			if (!(await this.drawer.writeDraw(true))) return
 			await this.options.sleep(RETURN_RETRY_DELAY_MS)
 		}
 	}
 
-	/** Takes over tokens of a box that stops while the store can't be reached. */
+	/** Accepts tokens from another box. Returns false once this box is closed. */
 	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean {
 		if (this.isClosed) return false
-		this.state.book.borrow(account, tokens, budgetsVersion)
+		this.state.ledger.borrow(account, tokens, budgetsVersion)
 		return true
 	}
 
-	/** Gives what is free to a box that answers: the store could not be told. */
+	/** Transfers the free tokens of all accounts to other boxes, for when the store is unreachable. */
 	private async transferUnspent(): Promise<void> {
-		const { book } = this.state
+		const { ledger } = this.state
 		this.drawer.updateSpendingLimitExpiry()
 		for (const account of this.state.accounts)
-			await this.lending.transferUnspent(book, account, this.state.budgets.version)
+			await this.lending.transferUnspent(ledger, account, this.state.budgets.version)
 	}
 
-	/** What is held of each account, for metrics. */
+	/** Tokens held of each account, for metrics. */
 	views(): AllowanceView[] {
 		return this.state.views()
 	}
@@ -194,28 +199,28 @@
 		return this.drawer.claimed || this.options.isLender()
 	}
 
-	/** Counts tokens as spent here, as many of those asked for as can be had. */
+	/** Marks up to the requested number of tokens as lent, drawing first if needed, and returns how many. */
 	private async takeForLoan(account: AccountName, tokens: number): Promise<number> {
-		const { book } = this.state
+		const { ledger } = this.state
 		const attainable = Math.min(tokens, this.drawer.attainableTokens(account))
-		if (book.free(account) < attainable && !this.state.isSpent(account, attainable)) {
+		if (ledger.free(account) < attainable && !this.state.isSpent(account, attainable)) {
 			const result = await this.drawer.waitForDraw(account, attainable, MAX_LEND_DRAW_WAIT_MS)
 			if (result === 'reserved') return attainable
 		}
-		return book.lend(account, tokens)
+		return ledger.lend(account, tokens)
 	}
 
-	/** A small part of what is free, while the budget is far from its end. */
+	/** Lends a small fraction of the free tokens beyond the request, unless the budget is nearly exhausted. */
 	private lendPrefetch(account: AccountName, tokens: number): number {
-		const { book } = this.state
+		const { ledger } = this.state
 		const view = this.state.view(account)
 		const secondsLeft = this.state.secondsToExhaustion(view)
 		if (secondsLeft < MIN_PREFETCH_SECONDS_LEFT) return 0
 		const wanted =
 			secondsLeft < NEAR_EXHAUSTION_SECONDS ? tokens * NEAR_EXHAUSTION_PREFETCH_FRACTION : tokens
-		const most = Math.max(0, view.free * MAX_PREFETCH_FRACTION)
-		const lent = book.lend(account, Math.floor(Math.min(wanted, most)))
-		book.recordDemand(account, lent, this.options.now())
+		const limit = Math.max(0, view.free * MAX_PREFETCH_FRACTION)
+		const lent = ledger.lend(account, Math.floor(Math.min(wanted, limit)))
+		ledger.recordDemand(account, lent, this.options.now())
 		return lent
 	}
 
--- a/packages/gateway/src/lib/AllowanceDrawer.ts
+++ b/packages/gateway/src/lib/AllowanceDrawer.ts
@@ -25,25 +25,24 @@
 import { ReservationQueue, type ReserveResult } from './ReservationQueue.js'
 import { SpendingLimitRecord } from './SpendingLimitRecord.js'
 
-/** What a box needs to draw. */
 export interface DrawOptions {
 	readonly store: KeyValueStore
-	/** Key of the record of this box's spending ceilings. */
+	/** Store key of this box's spending limits. */
 	readonly spendingLimitKey: string
 	readonly box: BoxName
 	readonly holder: Incarnation
-	/** Where other boxes reach this one. */
+	/** Address at which other boxes reach this one. */
 	readonly address: string
-	/** No process of any box ran before. */
+	/** True if no process of any box has run before. */
 	readonly isFirstStart: boolean
-	/** This box draws from the store; others ask such boxes. */
+	/** Whether this box draws from the store and lends tokens to other boxes. */
 	readonly isLender: () => boolean
-	/** Tells other boxes what this one has drawn. */
-	readonly telling: DrawReplicator
+	/** Replicates the draws of this box to other boxes. */
+	readonly replicator: DrawReplicator
 	readonly metrics: Metrics
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
-	/** Time of day, in ms. */
+	/** Wall clock, in ms. */
 	readonly wallTime: () => number
 	/** Time since this process started, in ms. */
 	readonly uptimeMs: () => number
@@ -52,28 +51,30 @@
 	readonly log: (event: LogEvent) => void
 }
 
-/** What an {@link AllowanceDrawer} works with. */
 export interface AllowanceDrawerOptions extends DrawOptions {
 	readonly record: AllowanceRecord
 	readonly state: AllowanceState
 }
 
-/** Least time between two draws that no request waits for, in ms: boxes draw from one record. */
+/** Minimum interval between draws that no request waits for, in ms. It limits contention on the shared record. */
 const MIN_DRAW_INTERVAL_MS = 1_800
-/** Age from which the shared record is read again, in ms. */
+/** Maximum age of the cached record, in ms. */
 const MAX_RECORD_AGE_MS = 2_000
-/** The same for some time after the store came back from a copy, while some boxes have not written since. */
+/**
+ * Maximum age of the cached record after the store was restored from a backup, while some boxes have not written
+ * their draws again, in ms.
+ */
 const MAX_RECORD_AGE_AFTER_RESTORE_MS = 300
 const RESTORE_SETTLE_MS = 10_000
-/** Time that one write of the record takes, in ms. */
+/** Duration of one write of the record, in ms. */
 const RECORD_WRITE_MS = 10
-/** Pause of the maintenance after a failed call, in ms. */
+/** Delay after a failed store call before {@link AllowanceDrawer.maintain} makes another, in ms. */
 const FAULT_RETRY_DELAY_MS = 900
 const MAX_WRITE_ATTEMPTS = 8
 const CONFLICT_BACKOFF_MS = 12
 const CLAIM_RETRY_DELAY_MS = 200
 
-/** Claims the right to draw for this box, draws from the shared record, and promises ceilings. */
+/** Claims the right to draw for this box, draws tokens from the shared record, and writes the spending limits. */
 export class AllowanceDrawer {
 	private readonly queue = new ReservationQueue()
 	private readonly spendingLimits: SpendingLimitRecord
@@ -94,23 +95,23 @@
 		this.claimer = new AllowanceClaimer({ ...options, spendingLimits: this.spendingLimits })
 	}
 
-	/** True once this incarnation may draw. */
+	/** True once this process may draw. */
 	get claimed(): boolean {
-		return this.state.book.claimed
+		return this.state.ledger.claimed
 	}
 
-	/** This box draws, or would if it had claimed the right to, and the store seems to answer. */
+	/** True if a draw can be attempted: the store is reachable, or this box is a lender that has yet to claim. */
 	get canDraw(): boolean {
 		if (!this.claimed) return this.options.isLender()
 		return this.record.isReachable
 	}
 
-	/** Lets the book know whether its ceilings still hold. */
+	/** Updates the ledger on whether the spending limits have expired. */
 	updateSpendingLimitExpiry(): void {
-		this.state.book.setSpendingLimitsExpired(this.spendingLimits.isExpired)
+		this.state.ledger.setSpendingLimitsExpired(this.spendingLimits.isExpired)
 	}
 
-	/** Claims the right to draw, trying until the store grants it. */
+	/** Claims the right to draw, retrying until the claim succeeds or this drawer closes. */
 	async claim(): Promise<void> {
 		if (this.isClaiming) return
 		this.isClaiming = true
@@ -123,7 +124,7 @@
 		}
 	}
 
-	/** Renews draws that run low and gives back what is too much. To be called some times a second. */
+	/** Tops up low draws and returns excess ones. Must be called several times per second. */
 	async maintain(): Promise<void> {
 		if (this.isClosed || this.isDrawing) return
 		if (!this.claimed) {
@@ -138,8 +139,9 @@
 	}
 
 	/**
-	 * The store came back from a copy, and the record with it. What this box drew is written again at once: until then
-	 * the others draw nothing that it may hold. Boxes write one record, and wait for different times.
+	 * Writes the draws of this box again after the store was restored from a backup. Until then other boxes
+	 * cannot draw the tokens that this box may hold. A random delay spreads the writes of all boxes to the
+	 * shared record.
 	 */
 	async onEraChange(): Promise<void> {
 		const { now, random, sleep } = this.options
@@ -149,7 +151,10 @@
 		await this.draw()
 	}
 
-	/** Age from which the shared record is read again, in ms: what others write after a return frees tokens. */
+	/**
+	 * Maximum age of the cached record, in ms. After a restore it is short, because the writes of other boxes
+	 * free tokens.
+	 */
 	private get maxRecordAgeMs(): number {
 		const isSettling = this.options.now() - this.eraStartedAt < RESTORE_SETTLE_MS
 		return isSettling && this.record.staleBoxes.length > 0
@@ -157,7 +162,7 @@
 			: MAX_RECORD_AGE_MS
 	}
 
-	/** What this box could have free of an account after a draw and with a higher ceiling. */
+	/** Number of tokens of an account that this box could have free after a draw and a higher spending limit. */
 	attainableTokens(account: AccountName): number {
 		if (!this.canDraw) return 0
 		const view = this.state.view(account)
@@ -165,14 +170,14 @@
 		return view.unspent + this.state.undrawn(view)
 	}
 
-	/** Waits for the next draw, which is made as soon as may be. */
+	/** Requests a draw and waits until it reserves the tokens, at most `ms`. */
 	waitForDraw(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
 		const result = this.queue.enqueue(account, tokens, ms)
 		void this.draw()
 		return result
 	}
 
-	/** Claims and draws no more. */
+	/** Stops claiming and drawing. */
 	close(): void {
 		this.isClosed = true
 	}
@@ -186,10 +191,10 @@
 		)
 	}
 
-	/** The record tells what this box drew, in the era of the store. */
+	/** True if the record holds the draws of this box in the current era of the store. */
 	private get isOwnRowCurrent(): boolean {
-		const own = this.record.row.boxes[this.options.box]
-		return own !== undefined && isWrittenInEra(own, this.record.era)
+		const ownRow = this.record.row.boxes[this.options.box]
+		return ownRow !== undefined && isWrittenInEra(ownRow, this.record.era)
 	}
 
 	private needsSpendingLimitWrite(): boolean {
@@ -203,7 +208,10 @@
 		return nextSpendingLimit(view, this.state.secondsToExhaustion(view))
 	}
 
-	/** Draws for all accounts at once; one draw at a time. */
+	/**
+	 * Draws for all accounts in one write. Draws do not overlap: a call during a draw starts another one after
+	 * it.
+	 */
 	async draw(): Promise<void> {
 		if (this.isClosed) return
 		if (!this.claimed) {
@@ -225,13 +233,13 @@
 	private async drawForQueue(): Promise<void> {
 		do {
 			this.isDrawRequested = false
-			const served = this.queue.count
+			const queued = this.queue.count
 			const fault = await this.replenish()
-			this.resolveQueued(fault ? this.queue.count : served)
+			this.resolveQueued(fault ? this.queue.count : queued)
 		} while (this.isDrawRequested && this.record.isReachable)
 	}
 
-	/** Draws where that is needed, then raises the ceilings. */
+	/** Writes a new draw if one is needed, then the spending limits if they have to change. */
 	private async replenish(): Promise<StoreFault | undefined> {
 		if (this.needsDraw() || this.queueNeedsDraw()) {
 			const fault = await this.writeDraw(false)
@@ -242,7 +250,7 @@
 			: undefined
 	}
 
-	/** A request waits that this box could serve if its ceiling were higher. */
+	/** True if a waiting request fits into the draw of this box but not under its spending limit. */
 	private queueNeedsSpendingLimit(): boolean {
 		return this.state.views().some((view) => {
 			const smallest = this.queue.smallestRequest(view.account)
@@ -251,56 +259,56 @@
 	}
 
 	/**
-	 * A request waits for more than this box holds, and what nobody has drawn could hold it. Where it
-	 * can't, a draw now and then still tells the others what is spent here.
+	 * True if a waiting request needs more tokens than this box holds, and a draw could provide them. Otherwise
+	 * an occasional draw still publishes how much this box has spent.
 	 */
 	private queueNeedsDraw(): boolean {
-		const isPauseOver = this.options.now() - this.lastDrawAt >= MIN_DRAW_INTERVAL_MS
+		const isIntervalOver = this.options.now() - this.lastDrawAt >= MIN_DRAW_INTERVAL_MS
 		return this.state.views().some((view) => {
 			const smallest = this.queue.smallestRequest(view.account)
 			if (smallest <= view.unspent) return false
 			if (smallest <= view.unspent + this.state.undrawn(view)) return true
-			return isPauseOver && view.committed > this.recordedSpent(view.account)
+			return isIntervalOver && view.committed > this.recordedSpent(view.account)
 		})
 	}
 
-	/** What the record says that this box has spent. */
+	/** Tokens that the record lists as spent by this box. */
 	private recordedSpent(account: AccountName): number {
 		return this.record.row.boxes[this.options.box]?.spent[account] ?? 0
 	}
 
 	private async writeSpendingLimits(): Promise<StoreFault | undefined> {
-		const waiting = this.queue.tokens()
-		const marks: Record<AccountName, number> = {}
+		const waiting = this.queue.tokensByAccount()
+		const spendingLimits: Record<AccountName, number> = {}
 		for (const view of this.state.views()) {
 			const needed = view.committed + (waiting[view.account] ?? 0)
-			marks[view.account] = Math.max(
+			spendingLimits[view.account] = Math.max(
 				this.nextSpendingLimit(view),
 				Math.min(needed, view.drawn),
 				view.committed,
 			)
 		}
-		for (const [account, mark] of Object.entries<number>(marks))
-			this.state.book.lowerSpendingLimit(account as AccountName, mark)
-		const result = await this.spendingLimits.write(marks)
-		this.state.book.setSpendingLimitsExpired(this.spendingLimits.isExpired)
+		for (const [account, spendingLimit] of Object.entries<number>(spendingLimits))
+			this.state.ledger.lowerSpendingLimit(account as AccountName, spendingLimit)
+		const result = await this.spendingLimits.write(spendingLimits)
+		this.state.ledger.setSpendingLimitsExpired(this.spendingLimits.isExpired)
 		if (E.isLeft(result)) return this.record.noteFault(result.left)
-		for (const [account, mark] of Object.entries<number>(marks))
-			this.state.book.confirmSpendingLimit(account as AccountName, mark)
+		for (const [account, spendingLimit] of Object.entries<number>(spendingLimits))
+			this.state.ledger.confirmSpendingLimit(account as AccountName, spendingLimit)
 		return undefined
 	}
 
 	private resolveQueued(count: number): void {
 		this.queue.resolveFirst(count, (account, tokens) => {
-			if (this.state.book.reserve(account, tokens)) return 'reserved'
+			if (this.state.ledger.reserve(account, tokens)) return 'reserved'
 			return this.state.isSpent(account, tokens) ? 'spent' : 'unknown'
 		})
 	}
 
-	/** Writes this box's draws; with `giveBack`, all that is free goes back. */
-	async writeDraw(giveBack: boolean): Promise<StoreFault | undefined> {
-		for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries++) {
-			const next = this.plan(giveBack)
+	/** Writes the draws of this box. With `returnUnspent`, it returns all free tokens. */
+	async writeDraw(returnUnspent: boolean): Promise<StoreFault | undefined> {
+		for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
+			const next = this.plan(returnUnspent)
 			this.lowerDraws(next)
 			const result = await this.record.write(next)
 			if (E.isLeft(result)) return result.left
@@ -308,12 +316,12 @@
 				this.lastDrawAt = this.options.now()
 				return this.confirmOnceReplicated(next)
 			}
-			await this.options.sleep(this.options.random() * CONFLICT_BACKOFF_MS * tries)
+			await this.options.sleep(this.options.random() * CONFLICT_BACKOFF_MS * attempt)
 		}
 		return { kind: 'refused', status: 412 }
 	}
 
-	private plan(giveBack: boolean): AllowanceRow {
+	private plan(returnUnspent: boolean): AllowanceRow {
 		const { box, holder, address } = this.options
 		return planDraw(this.record.row, {
 			box,
@@ -321,27 +329,27 @@
 			address,
 			budgets: this.state.budgets,
 			views: this.state.views(),
-			waiting: this.queue.tokens(),
-			returnUnspent: giveBack,
+			waiting: this.queue.tokensByAccount(),
+			returnUnspent,
 			era: this.record.era,
-			claimedInEra: this.claimer.claimedIn,
+			claimedInEra: this.claimer.claimedInEra,
 		})
 	}
 
 	/**
-	 * What was drawn is used once others know of it: the store may come back from a copy that lacks it. Without them it
-	 * stays drawn, and is told again with the next draw.
+	 * Confirms a draw once other boxes have stored it, because the store may be restored from a backup that
+	 * lacks it. An unconfirmed draw is replicated again with the next one.
 	 */
 	private async confirmOnceReplicated(next: AllowanceRow): Promise<StoreFault | undefined> {
 		const raised = this.raisedDraws(next)
 		const { revision } = this.record
 		if (revision && Object.keys(raised).length > 0) {
-			const isKnown = await this.options.telling.replicate({
+			const isReplicated = await this.options.replicator.replicate({
 				box: this.options.box,
 				revision,
 				raised,
 			})
-			if (!isKnown) return this.noteReplicationFailure(revision)
+			if (!isReplicated) return this.noteReplicationFailure(revision)
 		}
 		this.confirmDraws(next)
 		return undefined
@@ -350,10 +358,10 @@
 	private noteReplicationFailure(revision: StoreRevision): StoreFault {
 		const fields = { revision: describeRevision(revision) }
 		this.options.log({ name: 'allowance-untold', fields })
-		return { kind: 'no-answer', cause: 'no other box knows of the draw' }
+		return { kind: 'no-answer', cause: 'no other box has stored the draw' }
 	}
 
-	/** Draws above those that this box may use already. */
+	/** Draws that exceed the confirmed ones, by account. */
 	private raisedDraws(next: AllowanceRow): TokensByAccount {
 		const raised = this.ownDraws(next).filter(([account, drawn]) => {
 			return drawn > this.state.view(account).drawn
@@ -362,12 +370,17 @@
 	}
 
 	private lowerDraws(next: AllowanceRow): void {
-		for (const [account, drawn] of this.ownDraws(next)) this.state.book.lowerDraw(account, drawn)
+		for (const [account, drawn] of this.ownDraws(next)) this.state.ledger.lowerDraw(account, drawn)
 	}
 
 	private confirmDraws(next: AllowanceRow): void {
 		for (const [account, drawn] of this.ownDraws(next))
-			this.state.book.confirmDraw(account, drawn, next.budgetsVersion, isOverBudget(next, account))
+			this.state.ledger.confirmDraw(
+				account,
+				drawn,
+				next.budgetsVersion,
+				isOverBudget(next, account),
+			)
 		this.options.metrics.count('stallwing_draws_total')
 		this.options.log({
 			name: 'allowance-drawn',
@@ -381,11 +394,11 @@
 		})
 	}
 
-	/** Figures by account, for a log line. */
-	private formatByAccount(figure: (view: AllowanceView) => number): string {
+	/** Formats one value per account for a log event. */
+	private formatByAccount(valueOf: (view: AllowanceView) => number): string {
 		return this.state
 			.views()
-			.map((view) => `${view.account}:${Math.round(figure(view))}`)
+			.map((view) => `${view.account}:${Math.round(valueOf(view))}`)
 			.join(' ')
 	}
 
--- a/packages/gateway/src/lib/AllowanceRecord.ts
+++ b/packages/gateway/src/lib/AllowanceRecord.ts
@@ -19,63 +19,65 @@
 import type { ReplicatedDraws } from './DrawReplicator.js'
 import { readAllowanceRow } from './allowanceDocuments.js'
 
-/** What an {@link AllowanceRecord} works with. */
 export interface AllowanceRecordOptions {
 	readonly store: KeyValueStore
 	readonly recordKey: string
 	readonly metrics: Metrics
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly log: (event: LogEvent) => void
 }
 
-/** Draws of a box that is in no record that was seen. */
+/** Draws of a box that the record does not list. */
 const NO_DRAWS: BoxDraws = { holder: brandId(''), address: '', drawn: {}, spent: {}, era: 0 }
 
-/** The shared record of all draws in the store, as this box last saw it. */
+/** Cached copy of the shared record of all draws in the store. */
 export class AllowanceRecord {
 	row: AllowanceRow = EMPTY_ALLOWANCE_ROW
-	/** Revision at which it was seen; undefined where it is absent. */
+	/** Store revision of {@link row}; undefined if the record does not exist. */
 	revision: StoreRevision | undefined
-	/** The last call of this box was answered. */
+	/** True if the last store call of this box succeeded. */
 	isReachable = false
-	/** The record as it was before the store came back from a copy, until all boxes have written since. */
+	/**
+	 * The record before the store was restored from a backup; kept until all boxes have written their draws
+	 * again.
+	 */
 	private rowBeforeRestore: AllowanceRow | undefined
-	/** What other boxes told of their draws, since the record may not be read again before it is lost. */
+	/** Draws that other boxes replicated to this one and that may be missing from {@link row}. */
 	private readonly replicatedDraws = new Map<BoxName, ReplicatedDraws>()
 	private lastSeenAt = Number.NEGATIVE_INFINITY
 	private lastFaultAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly options: AllowanceRecordOptions) {}
 
-	/** Age of what is known, in ms. */
+	/** Age of the cached copy, in ms. */
 	get ageMs(): number {
 		return this.options.now() - this.lastSeenAt
 	}
 
-	/** Time since the last call that failed, in ms. */
+	/** Time since the last failed store call, in ms. */
 	get msSinceFault(): number {
 		return this.options.now() - this.lastFaultAt
 	}
 
-	/** Era of the store. */
+	/** Era of the store. It changes when the store is restored from a backup. */
 	get era(): number {
 		return this.options.store.era
 	}
 
-	/** Boxes that have not written their draws since the store came back from a copy. */
+	/** Boxes that have not written their draws since the store was restored from a backup. */
 	get staleBoxes(): readonly BoxName[] {
 		return boxesWithStaleDraws(this.row, this.era)
 	}
 
-	/** Reads the newest state. */
+	/** Reads the latest record. */
 	async read(): Promise<StoreFault | undefined> {
 		const result = await this.options.store.read(this.options.recordKey)
 		if (E.isLeft(result)) return this.noteFault(result.left)
 		return this.adopt(result.right)
 	}
 
-	/** Reads a state that may be seconds old, and is cheap. */
+	/** Reads the record with a cheaper call whose result may be seconds old. */
 	async refresh(): Promise<StoreFault | undefined> {
 		if ((this.revision ?? NO_REVISION).era < this.era) return this.read()
 		const result = await this.options.store.readStale(this.options.recordKey)
@@ -86,7 +88,10 @@
 		return undefined
 	}
 
-	/** Writes the next state where nobody wrote since; otherwise takes over what is there. */
+	/**
+	 * Writes the record if it has not changed since it was read. Otherwise caches the current record and returns
+	 * `conflict`.
+	 */
 	async write(next: AllowanceRow): Promise<E.Either<StoreFault, 'written' | 'conflict'>> {
 		const value = Buffer.from(JSON.stringify(next))
 		const result = await this.options.store.write(this.options.recordKey, value, this.revision)
@@ -101,36 +106,36 @@
 		return fault ? E.left(fault) : E.right('conflict')
 	}
 
-	/** Another box told of draws. False where they are of a history that is over. */
+	/** Stores draws that another box replicated. Returns false if they belong to a past era of the store. */
 	receiveDraws({ box, revision, raised }: ReplicatedDraws): boolean {
 		if (revision.era < this.era) return false
-		const before = this.replicatedDraws.get(box)
-		const isSameEra = before?.revision.era === revision.era
-		const all = isSameEra ? { ...before.raised, ...raised } : raised
-		this.replicatedDraws.set(box, { box, revision, raised: all })
+		const previous = this.replicatedDraws.get(box)
+		const isSameEra = previous?.revision.era === revision.era
+		const merged = isSameEra ? { ...previous.raised, ...raised } : raised
+		this.replicatedDraws.set(box, { box, revision, raised: merged })
 		return true
 	}
 
-	/** What others told is in the record that was seen. */
-	private dropRecordedDraws(seen: StoreRevision): void {
+	/** Drops replicated draws that the record at this revision contains. */
+	private dropRecordedDraws(current: StoreRevision): void {
 		for (const [box, { revision }] of this.replicatedDraws) {
-			if (revision.era === seen.era && !isNewerRevision(revision, seen))
+			if (revision.era === current.era && !isNewerRevision(revision, current))
 				this.replicatedDraws.delete(box)
 		}
 	}
 
-	/** The record as it was last seen, with the draws that others told since. */
+	/** The cached record, updated with the draws that other boxes replicated in the era of that revision. */
 	private withReplicatedDraws({ era }: StoreRevision): AllowanceRow {
 		const boxes: Record<BoxName, BoxDraws> = { ...this.row.boxes }
 		for (const { box, raised, revision } of this.replicatedDraws.values()) {
 			if (revision.era !== era) continue
-			const seen = boxes[box] ?? NO_DRAWS
-			boxes[box] = { ...seen, drawn: maxByAccount(seen.drawn, raised) }
+			const draws = boxes[box] ?? NO_DRAWS
+			boxes[box] = { ...draws, drawn: maxByAccount(draws.drawn, raised) }
 		}
 		return { ...this.row, boxes }
 	}
 
-	/** A call of this box to the store failed. */
+	/** Records a failed store call. */
 	noteFault(fault: StoreFault): StoreFault {
 		this.isReachable = false
 		this.lastFaultAt = this.options.now()
@@ -143,13 +148,15 @@
 	}
 
 	private adopt(item: StoreItem | undefined): StoreFault | undefined {
-		// What others drew stands nowhere else: without it this box draws nothing, rather than too much.
+		// An unreadable record counts as a failed call: treating it as empty would ignore the draws of other
+		// boxes.
 		const row = item ? readAllowanceRow(item.value) : EMPTY_ALLOWANCE_ROW
 		if (!row) return this.noteFault({ kind: 'unreadable', cause: this.options.recordKey })
-		const known = this.revision
+		const previousRevision = this.revision
 		this.revision = item?.revision
 		if (item) this.dropRecordedDraws(item.revision)
-		if (known && known.era < this.era) this.rowBeforeRestore = this.withReplicatedDraws(known)
+		if (previousRevision && previousRevision.era < this.era)
+			this.rowBeforeRestore = this.withReplicatedDraws(previousRevision)
 		this.row = this.rowBeforeRestore ? mergeLostDraws(row, this.rowBeforeRestore, this.era) : row
 		if (this.staleBoxes.length === 0) this.rowBeforeRestore = undefined
 		this.markSeen()
--- a/packages/gateway/src/lib/AllowanceState.ts
+++ b/packages/gateway/src/lib/AllowanceState.ts
@@ -12,41 +12,40 @@
 import type { AllowanceRecord } from './AllowanceRecord.js'
 import type { RemainingBudget } from './TokenLending.js'
 
-/** What an {@link AllowanceState} works with. */
 export interface AllowanceStateOptions {
 	readonly box: BoxName
 	readonly record: AllowanceRecord
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly log: (event: LogEvent) => void
 }
 
-/** Tokens by account. */
+/** Number of tokens by account. */
 export type TokensByAccount = Readonly<Record<AccountName, number>>
 
-/** Part of a budget below which boxes that borrow are told how little is left, with each answer. */
+/** Fraction of a budget below which lenders report the remaining tokens with each response. */
 const NEARLY_SPENT_FRACTION = 0.02
 
-/** What this box knows of the token budgets: the configuration, its own book, and the shared record. */
+/** Combines the configured budgets, the ledger of this box, and the shared draw record. */
 export class AllowanceState {
-	readonly book = new AllowanceLedger()
+	readonly ledger = new AllowanceLedger()
 	budgets: Budgets = { version: 0, tokens: {} }
-	/** The last budget of each account that ever had one. */
+	/** Last known budget of each account, including accounts that are no longer configured. */
 	private readonly lastBudgets = new Map<AccountName, number>()
 
 	constructor(private readonly options: AllowanceStateOptions) {}
 
-	/** Takes the budgets of a new configuration. A lowered one is frozen until the next draw. */
+	/** Applies the budgets of a new configuration. A reduced budget is frozen until the next draw. */
 	setBudgets(budgets: Budgets): void {
 		for (const [name, tokens] of Object.entries<number>(budgets.tokens)) {
 			const account = name as AccountName
-			const before = this.lastBudgets.get(account) ?? 0
+			const previous = this.lastBudgets.get(account) ?? 0
 			this.lastBudgets.set(account, tokens)
-			if (tokens >= before) continue
-			this.book.freeze(account, budgets.version)
+			if (tokens >= previous) continue
+			this.ledger.freeze(account, budgets.version)
 			this.options.log({
 				name: 'allowance-frozen',
-				fields: { account, before, after: tokens, revision: budgets.version },
+				fields: { account, before: previous, after: tokens, revision: budgets.version },
 			})
 		}
 		this.budgets = budgets
@@ -56,35 +55,34 @@
 		return Object.keys(this.budgets.tokens) as AccountName[]
 	}
 
-	/** What is held of each account. */
 	views(): AllowanceView[] {
 		return this.accounts.map((account) => this.view(account))
 	}
 
 	view(account: AccountName): AllowanceView {
-		return this.book.view(account, this.options.now())
+		return this.ledger.view(account, this.options.now())
 	}
 
-	/** Boxes that have ever drawn. */
+	/** Number of boxes that have ever drawn; at least 1. */
 	get drawingBoxCount(): number {
 		return Math.max(1, Object.keys(this.options.record.row.boxes).length)
 	}
 
-	/** What nobody has drawn of an account, as far as this box knows. */
+	/** Tokens of an account that no box has drawn, as far as this box knows. */
 	undrawn(view: AllowanceView): number {
 		const { box, record } = this.options
 		const budget = this.budgets.tokens[view.account] ?? 0
-		const others = maxDrawnByOthers(record.row, view.account, box, budget, record.era)
-		return Math.max(0, budget - others - view.drawn)
+		const drawnByOthers = maxDrawnByOthers(record.row, view.account, box, budget, record.era)
+		return Math.max(0, budget - drawnByOthers - view.drawn)
 	}
 
-	/** Time in which the fleet uses up what is left of an account, in seconds. */
+	/** Time until the whole fleet has used up the remaining tokens of an account, in seconds. */
 	secondsToExhaustion(view: AllowanceView): number {
 		const { box, record } = this.options
 		return secondsToExhaustion(record.row, box, view, this.undrawn(view))
 	}
 
-	/** What may be left of a budget, wherever it lies; Infinity where that can't be told. */
+	/** Upper bound on the tokens of an account that remain in the whole fleet; Infinity if unknown. */
 	maxRemaining(account: AccountName): number {
 		const { box, record } = this.options
 		const budget = this.budgets.tokens[account]
@@ -93,7 +91,7 @@
 		return budget - spentByOthers(record.row, account, box) - this.view(account).committed
 	}
 
-	/** Accounts of which little may be left, wherever it lies. */
+	/** Accounts of which only a small fraction of the budget may remain. */
 	get nearlySpentAccounts(): readonly RemainingBudget[] {
 		return this.accounts
 			.map((account): RemainingBudget => ({ account, left: this.maxRemaining(account) }))
@@ -102,7 +100,7 @@
 			)
 	}
 
-	/** True where what is left of a budget can't hold so many tokens, wherever it lies. */
+	/** True if fewer tokens than requested remain in the whole fleet. */
 	isSpent(account: AccountName, tokens: number): boolean {
 		return tokens > this.maxRemaining(account)
 	}
--- a/packages/gateway/src/lib/DrawReplicator.test.ts
+++ b/packages/gateway/src/lib/DrawReplicator.test.ts
@@ -9,64 +9,69 @@
 	raised: { [brandId<AccountName>('acme')]: 10 },
 }
 
-/** Time in which each box answers, in ms; a negative one never does, and is given up after 160 ms. */
+/** Response time of each box, in ms. A box with a negative time never confirms; its call fails after 160 ms. */
 type ResponseTimes = Readonly<Record<string, number>>
 
-function createReplicator(answers: ResponseTimes): { telling: DrawReplicator; told: string[] } {
-	const told: string[] = []
+function createReplicator(responseTimes: ResponseTimes): {
+	replicator: DrawReplicator
+	contacted: string[]
+} {
+	const contacted: string[] = []
 	const options = {
-		others: () => Object.keys(answers),
-		tell: async (address: string) => {
-			told.push(address)
-			const ms = answers[address] ?? -1
+		replicaAddresses: () => Object.keys(responseTimes),
+		send: async (address: string) => {
+			contacted.push(address)
+			const ms = responseTimes[address] ?? -1
 			await sleep(ms < 0 ? 160 : ms)
 			return ms >= 0
 		},
 		sleep,
 	}
-	return { telling: new DrawReplicator(options), told }
+	return { replicator: new DrawReplicator(options), contacted }
 }
 
 async function replicateDraws(
-	answers: ResponseTimes,
-): Promise<{ known: boolean; ms: number; told: number }> {
-	const { telling: one, told } = createReplicator(answers)
-	const began = Date.now()
-	const result = one.replicate(DRAWS).then((known) => ({ known, ms: Date.now() - began }))
+	responseTimes: ResponseTimes,
+): Promise<{ isReplicated: boolean; ms: number; contacted: number }> {
+	const { replicator: underTest, contacted } = createReplicator(responseTimes)
+	const startedAt = Date.now()
+	const result = underTest
+		.replicate(DRAWS)
+		.then((isReplicated) => ({ isReplicated, ms: Date.now() - startedAt }))
 	await vi.advanceTimersByTimeAsync(1_000)
-	return { ...(await result), told: told.length }
+	return { ...(await result), contacted: contacted.length }
 }
 
-describe('DrawTelling', () => {
+describe('DrawReplicator', () => {
 	beforeEach(() => void vi.useFakeTimers())
 	afterEach(() => void vi.useRealTimers())
 
-	it('is done as soon as two others know', async () => {
+	it('resolves once two boxes have stored the draws', async () => {
 		expect(await replicateDraws({ a: 3, b: 30, c: 5, d: 1 })).toEqual({
-			known: true,
+			isReplicated: true,
 			ms: 5,
-			told: 3,
+			contacted: 3,
 		})
 	})
 
-	it('goes on to others where those that were told first are away', async () => {
+	it('contacts further boxes if the first ones do not answer', async () => {
 		expect(await replicateDraws({ a: -1, b: -1, c: 2, d: 3, e: 4 })).toEqual({
-			known: true,
+			isReplicated: true,
 			ms: 43,
-			told: 5,
+			contacted: 5,
 		})
 	})
 
-	it('makes do with one where no other answers, and with none where there is none', async () => {
-		expect((await replicateDraws({ a: -1, b: 2 })).known).toBe(true)
-		expect((await replicateDraws({})).known).toBe(true)
+	it('accepts one confirmation if no other box answers, and none if there is no other box', async () => {
+		expect((await replicateDraws({ a: -1, b: 2 })).isReplicated).toBe(true)
+		expect((await replicateDraws({})).isReplicated).toBe(true)
 	})
 
-	it('says that nobody knows where nobody answers', async () => {
+	it('resolves to false if no box answers', async () => {
 		expect(await replicateDraws({ a: -1, b: -1, c: -1, d: -1 })).toEqual({
-			known: false,
+			isReplicated: false,
 			ms: 80,
-			told: 4,
+			contacted: 4,
 		})
 	})
 })
--- a/packages/gateway/src/lib/DrawReplicator.ts
+++ b/packages/gateway/src/lib/DrawReplicator.ts
@@ -5,66 +5,72 @@
 	type StoreRevision,
 } from '@stallwing/core'
 
-/** Draws that a box raised, as it tells them to others. */
+/** Increased draws of one box, as sent to the boxes that store replicas. */
 export interface ReplicatedDraws {
 	readonly box: BoxName
-	/** Revision of the record that holds them. */
+	/** Store revision of the record that contains these draws. */
 	readonly revision: StoreRevision
-	/** Cumulative draws by account; those that were not raised are left out. */
+	/** Cumulative draws by account, for the accounts whose draws increased. */
 	readonly raised: Readonly<Record<AccountName, number>>
 }
 
-/** What a {@link DrawReplicator} works with. */
 export interface DrawReplicatorOptions {
-	/** Addresses of other boxes, those to be told first in front. */
-	readonly others: () => readonly string[]
-	/** Tells one box; false where it did not say that it took the draws. */
-	readonly tell: (address: string, told: ReplicatedDraws) => Promise<boolean>
+	/** Addresses of the boxes that store replicas, in order of preference. */
+	readonly replicaAddresses: () => readonly string[]
+	/** Sends draws to one box; resolves to false unless the box confirms that it stored them. */
+	readonly send: (address: string, draws: ReplicatedDraws) => Promise<boolean>
 	readonly sleep: (ms: number) => Promise<void>
 }
 
-/** Boxes that are told at once: one more than need to know, where one is away. */
+/** Number of boxes contacted at once: one more than required, in case one is unavailable. */
 const BATCH_SIZE = MIN_DRAW_REPLICAS + 1
-/** Time after which further boxes are told where too few have answered, in ms. */
+/** Time to wait for confirmations before contacting the next boxes, in ms. */
 const BATCH_TIMEOUT_MS = 40
-/** Boxes that are told of one draw at most. */
+/** Maximum number of boxes contacted for one draw. */
 const MAX_BOXES_CONTACTED = 9
 
-/** Tells other boxes of draws, before they are used. */
+/** Replicates the draws of this box to other boxes before it uses them. */
 export class DrawReplicator {
 	constructor(private readonly options: DrawReplicatorOptions) {}
 
 	/**
-	 * True once {@link MIN_DRAW_REPLICAS} others know of the draws, or as many as answer. False where none does, although there
-	 * are others.
+	 * Resolves to true once {@link MIN_DRAW_REPLICAS} boxes have stored the draws, or at least one box if the
+	 * others do not answer. Also true if there are no other boxes.
 	 */
-	async replicate(told: ReplicatedDraws): Promise<boolean> {
-		const others = this.options.others().slice(0, MAX_BOXES_CONTACTED)
-		if (others.length === 0) return true
-		let known = 0
-		for (let first = 0; first < others.length; first += BATCH_SIZE) {
-			const some = others.slice(first, first + BATCH_SIZE)
-			known += await this.sendBatch(some, told, Math.min(MIN_DRAW_REPLICAS, others.length) - known)
-			if (known >= MIN_DRAW_REPLICAS) return true
+	async replicate(draws: ReplicatedDraws): Promise<boolean> {
+		const addresses = this.options.replicaAddresses().slice(0, MAX_BOXES_CONTACTED)
+		if (addresses.length === 0) return true
+		let confirmed = 0
+		for (let start = 0; start < addresses.length; start += BATCH_SIZE) {
+			const batch = addresses.slice(start, start + BATCH_SIZE)
+			confirmed += await this.sendBatch(
+				batch,
+				draws,
+				Math.min(MIN_DRAW_REPLICAS, addresses.length) - confirmed,
+			)
+			if (confirmed >= MIN_DRAW_REPLICAS) return true
 		}
-		return known > 0
+		return confirmed > 0
 	}
 
-	/** How many of some boxes took the draws, as soon as enough did or the patience is over. */
+	/**
+	 * Sends draws to several boxes. Resolves to the number of confirmations once `required` are in, all boxes
+	 * have answered, or {@link BATCH_TIMEOUT_MS} has passed.
+	 */
 	private sendBatch(
 		addresses: readonly string[],
-		told: ReplicatedDraws,
-		enough: number,
+		draws: ReplicatedDraws,
+		required: number,
 	): Promise<number> {
 		return new Promise((resolve) => {
-			let known = 0
-			let open = addresses.length
-			void this.options.sleep(BATCH_TIMEOUT_MS).then(() => resolve(known))
+			let confirmed = 0
+			let pending = addresses.length
+			void this.options.sleep(BATCH_TIMEOUT_MS).then(() => resolve(confirmed))
 			for (const address of addresses) {
-				void this.options.tell(address, told).then((isTaken) => {
-					open--
-					if (isTaken) known++
-					if (known >= enough || open === 0) resolve(known)
+				void this.options.send(address, draws).then((isStored) => {
+					pending--
+					if (isStored) confirmed++
+					if (confirmed >= required || pending === 0) resolve(confirmed)
 				})
 			}
 		})
--- a/packages/gateway/src/lib/ReservationQueue.ts
+++ b/packages/gateway/src/lib/ReservationQueue.ts
@@ -1,9 +1,8 @@
 import type { AccountName } from '@stallwing/core'
 
-/** Whether tokens were set aside: `spent` is certain, `unknown` may change soon. */
+/** Outcome of a reservation: `spent` is final, while `unknown` may change soon. */
 export type ReserveResult = 'reserved' | 'spent' | 'unknown'
 
-/** A request that waits for the next draw. */
 interface QueuedReservation {
 	readonly account: AccountName
 	readonly tokens: number
@@ -11,7 +10,7 @@
 	readonly timer: NodeJS.Timeout
 }
 
-/** Requests that wait for a draw, in order of arrival. */
+/** Reservations that wait for tokens, in order of arrival. */
 export class ReservationQueue {
 	private queue: QueuedReservation[] = []
 
@@ -19,42 +18,41 @@
 		return this.queue.length
 	}
 
-	/** Waits for {@link resolveFirst}, at most for a time. */
+	/** Queues a reservation. Resolves to `unknown` if it is still queued after `ms`. */
 	enqueue(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
 		return new Promise((resolve) => {
 			const timer = setTimeout(() => {
-				this.queue = this.queue.filter((entry) => entry !== waiter)
+				this.queue = this.queue.filter((other) => other !== entry)
 				resolve('unknown')
 			}, ms)
-			const waiter: QueuedReservation = { account, tokens, resolve, timer }
-			this.queue.push(waiter)
+			const entry: QueuedReservation = { account, tokens, resolve, timer }
+			this.queue.push(entry)
 		})
 	}
 
-	/** Tokens that are waited for, by account. */
-	tokens(): Record<AccountName, number> {
-		const waiting: Record<AccountName, number> = {}
-		for (const { account, tokens } of this.queue)
-			waiting[account] = (waiting[account] ?? 0) + tokens
-		return waiting
+	/** Total number of queued tokens by account. */
+	tokensByAccount(): Record<AccountName, number> {
+		const totals: Record<AccountName, number> = {}
+		for (const { account, tokens } of this.queue) totals[account] = (totals[account] ?? 0) + tokens
+		return totals
 	}
 
-	/** The least that a request waits for of an account; 0 where none waits. */
+	/** Size of the smallest queued reservation of an account; 0 if there is none. */
 	smallestRequest(account: AccountName): number {
-		const waiting = this.queue.filter((waiter) => waiter.account === account)
-		return waiting.length === 0 ? 0 : Math.min(...waiting.map((waiter) => waiter.tokens))
+		const ofAccount = this.queue.filter((entry) => entry.account === account)
+		return ofAccount.length === 0 ? 0 : Math.min(...ofAccount.map((entry) => entry.tokens))
 	}
 
-	/** Gives the first `count` waiters their result; those that came later wait for the next draw. */
+	/** Resolves the first `count` reservations and removes them from the queue. */
 	resolveFirst(
 		count: number,
 		resultFor: (account: AccountName, tokens: number) => ReserveResult,
 	): void {
-		const served = this.queue.slice(0, count)
+		const resolved = this.queue.slice(0, count)
 		this.queue = this.queue.slice(count)
-		for (const waiter of served) {
-			clearTimeout(waiter.timer)
-			waiter.resolve(resultFor(waiter.account, waiter.tokens))
+		for (const entry of resolved) {
+			clearTimeout(entry.timer)
+			entry.resolve(resultFor(entry.account, entry.tokens))
 		}
 	}
 }
--- a/packages/gateway/src/lib/SpendingLimitRecord.ts
+++ b/packages/gateway/src/lib/SpendingLimitRecord.ts
@@ -9,17 +9,16 @@
 } from '@stallwing/core'
 import type { KeyValueStore, StoreFault, StoreItem, StoreLease } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import { readSpendingMark } from './allowanceDocuments.js'
+import { readSpendingLimits } from './allowanceDocuments.js'
 
-/** What a {@link SpendingLimitRecord} works with. */
 export interface SpendingLimitRecordOptions {
 	readonly store: KeyValueStore
-	/** Key of the record of this box. */
+	/** Store key of the spending limits of this box. */
 	readonly key: string
 	readonly holder: Incarnation
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
-	/** Time of day, in ms. */
+	/** Wall clock, in ms. */
 	readonly wallTime: () => number
 	/** Time since this process started, in ms. */
 	readonly uptimeMs: () => number
@@ -27,61 +26,66 @@
 }
 
 /**
- * Age from which a lease is replaced, in ms: less than half of the promise, so that one that ends soon
- * after a loss of power is rare; each replacement is two calls.
+ * Age at which a lease is replaced, in ms. It is less than half of the validity of the spending limits, so that
+ * they rarely expire during a short loss of power. Each replacement costs two store calls.
  */
 const LEASE_RENEWAL_AGE_MS = 1_200
 const MAX_WRITE_ATTEMPTS = 3
 
-/** Keeps the record of this box's spending ceilings in the store. See {@link SpendingLimits}. */
+/** Reads and writes the spending limits of this box in the store. See {@link SpendingLimits}. */
 export class SpendingLimitRecord {
-	/** Undefined where the record is absent. */
+	/** Store revision of the record; undefined if it does not exist. */
 	private revision: StoreRevision | undefined
 	private lease: StoreLease | undefined
 	private leaseGrantedAt = Number.NEGATIVE_INFINITY
-	/** Time of day when the lease was asked for. */
+	/** Wall-clock time at which the lease was requested, in ms. */
 	private leaseRequestedWallTime = 0
 
 	constructor(private readonly options: SpendingLimitRecordOptions) {}
 
-	/** True where the record must be written again soon, even with the same ceilings. */
+	/** True if the record must be written again even if the spending limits have not changed. */
 	get needsRenewal(): boolean {
 		return this.options.now() - this.leaseGrantedAt >= LEASE_RENEWAL_AGE_MS
 	}
 
-	/** True once no new process of this box can rely on the ceilings any more. */
+	/** True once a new process of this box can no longer rely on the spending limits. */
 	get isExpired(): boolean {
 		return this.options.now() >= this.leaseGrantedAt + SPENDING_LIMIT_VALIDITY_MS
 	}
 
 	/**
-	 * Reads what the earlier incarnation promised, once this one has run for long enough. A record that can't be read
-	 * promises nothing: all that was drawn then counts as spent.
+	 * Reads the spending limits of the previous process, once this one has run for {@link MIN_CLAIM_UPTIME_MS}.
+	 * Returns undefined if the record is missing or unreadable; all tokens drawn then count as spent.
 	 */
 	async readPrevious(): Promise<E.Either<StoreFault, SpendingLimits | undefined>> {
-		const { uptimeMs: aliveMs, sleep } = this.options
-		if (aliveMs() < MIN_CLAIM_UPTIME_MS) await sleep(MIN_CLAIM_UPTIME_MS - aliveMs())
+		const { uptimeMs, sleep } = this.options
+		if (uptimeMs() < MIN_CLAIM_UPTIME_MS) await sleep(MIN_CLAIM_UPTIME_MS - uptimeMs())
 		const read = await this.options.store.read(this.options.key)
 		if (E.isLeft(read)) return read
 		this.adopt(read.right)
-		return E.right(read.right ? readSpendingMark(read.right.value) : undefined)
+		return E.right(read.right ? readSpendingLimits(read.right.value) : undefined)
 	}
 
-	/** The store came back from a copy: the record and its lease may be lost. No new process relies on it any more. */
+	/** Discards the lease after the store was restored from a backup, which may lack the record and the lease. */
 	onEraChange(): void {
 		this.lease = undefined
 		this.leaseGrantedAt = Number.NEGATIVE_INFINITY
 	}
 
-	/** Writes the ceilings. They count once this succeeded. */
+	/** Writes the spending limits. They are in force once this has succeeded. */
 	async write(
-		marks: Readonly<Record<AccountName, number>>,
+		spendingLimits: Readonly<Record<AccountName, number>>,
 	): Promise<E.Either<StoreFault, undefined>> {
-		for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries++) {
+		for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
 			const lease = await this.currentLease()
 			if (E.isLeft(lease)) return lease
 			const { store, key, holder } = this.options
-			const value = encode({ holder, wallTime: this.leaseRequestedWallTime, marks, era: store.era })
+			const value = encode({
+				holder,
+				wallTime: this.leaseRequestedWallTime,
+				marks: spendingLimits,
+				era: store.era,
+			})
 			const result = await store.write(key, value, this.revision, lease.right)
 			if (E.isLeft(result)) {
 				this.lease = undefined
@@ -98,13 +102,13 @@
 
 	private async currentLease(): Promise<E.Either<StoreFault, StoreLease>> {
 		if (this.lease && !this.needsRenewal) return E.right(this.lease)
-		const asked = this.options.wallTime()
-		const made = await this.options.store.lease(SPENDING_LIMIT_LEASE_MS)
-		if (E.isLeft(made)) return made
-		this.leaseRequestedWallTime = asked
-		this.lease = made.right
+		const requestedAt = this.options.wallTime()
+		const granted = await this.options.store.lease(SPENDING_LIMIT_LEASE_MS)
+		if (E.isLeft(granted)) return granted
+		this.leaseRequestedWallTime = requestedAt
+		this.lease = granted.right
 		this.leaseGrantedAt = this.options.now()
-		return made
+		return granted
 	}
 
 	private adopt(item: StoreItem | undefined): void {
@@ -112,6 +116,6 @@
 	}
 }
 
-function encode(mark: SpendingLimits): Buffer {
-	return Buffer.from(JSON.stringify(mark))
+function encode(spendingLimits: SpendingLimits): Buffer {
+	return Buffer.from(JSON.stringify(spendingLimits))
 }
--- a/packages/gateway/src/lib/TokenLending.test.ts
+++ b/packages/gateway/src/lib/TokenLending.test.ts
@@ -7,17 +7,20 @@
 const ACCOUNTS = Array.from({ length: 24 }, (_, i) => brandId<AccountName>(`account-${i}`))
 const UNREACHABLE_TIMEOUT_MS = 160
 
-/** Boxes that never answer, but for one. */
-function peersWithOneReachable(open: string, given: Map<AccountName, number>): TokenPeers {
+/** Peers of which all but one are unreachable. */
+function peersWithOneReachable(
+	reachable: string,
+	transferred: Map<AccountName, number>,
+): TokenPeers {
 	return {
 		requestTokens: () => Promise.resolve(EMPTY_LEND_RESPONSE),
 		sendDraws: () => Promise.resolve(true),
 		isReachable: async (address) => {
-			await sleep(address === open ? 2 : UNREACHABLE_TIMEOUT_MS)
-			return address === open
+			await sleep(address === reachable ? 2 : UNREACHABLE_TIMEOUT_MS)
+			return address === reachable
 		},
 		transferTokens: (_address, account, tokens) => {
-			given.set(account, tokens)
+			transferred.set(account, tokens)
 			return Promise.resolve(true)
 		},
 	}
@@ -27,33 +30,33 @@
 	beforeEach(() => void vi.useFakeTimers())
 	afterEach(() => void vi.useRealTimers())
 
-	it('hands all accounts over in little time where most boxes are silent', async () => {
-		const book = new AllowanceLedger()
-		for (const account of ACCOUNTS) book.borrow(account, 100, 1)
-		const given = new Map<AccountName, number>()
+	it('transfers the tokens of all accounts quickly if most boxes are unreachable', async () => {
+		const ledger = new AllowanceLedger()
+		for (const account of ACCOUNTS) ledger.borrow(account, 100, 1)
+		const transferred = new Map<AccountName, number>()
 		const lending = new TokenLending({
-			tokenPeers: peersWithOneReachable('f:1', given),
+			tokenPeers: peersWithOneReachable('f:1', transferred),
 			now: () => Date.now(),
 			sleep,
 			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const all = async (): Promise<void> => {
-			for (const account of ACCOUNTS) await lending.transferUnspent(book, account, 1)
+		const transferAll = async (): Promise<void> => {
+			for (const account of ACCOUNTS) await lending.transferUnspent(ledger, account, 1)
 		}
-		void all()
+		void transferAll()
 		await vi.advanceTimersByTimeAsync(1_500)
-		expect([...given.values()]).toEqual(ACCOUNTS.map(() => 100))
+		expect([...transferred.values()]).toEqual(ACCOUNTS.map(() => 100))
 	})
 
-	it('does not ask again for what others lately told is spent, until a newer configuration', async () => {
-		let asked = 0
+	it('remembers reports of spent accounts until they are old or the configuration changes', async () => {
+		let requests = 0
 		const other = ACCOUNTS[1]!
 		const lending = new TokenLending({
 			tokenPeers: {
 				...peersWithOneReachable('a:1', new Map()),
 				requestTokens: async () => {
-					asked++
+					requests++
 					await sleep(5)
 					const nearlySpent = [{ account: other, left: 20 }]
 					return { ...EMPTY_LEND_RESPONSE, left: 7, budgetsVersion: 3, nearlySpent }
@@ -64,12 +67,12 @@
 			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceLedger()
+		const ledger = new AllowanceLedger()
 		const account = ACCOUNTS[0]!
-		const result = lending.borrow(book, account, 10)
+		const result = lending.borrow(ledger, account, 10)
 		await vi.advanceTimersByTimeAsync(50)
 		expect(await result).toBe('spent')
-		expect(asked).toBe(1)
+		expect(requests).toBe(1)
 		expect(lending.isKnownSpent(account, 10, 3)).toBe(true)
 		expect(lending.isKnownSpent(account, 7, 3)).toBe(false)
 		expect(lending.isKnownSpent(other, 21, 3)).toBe(true)
@@ -78,13 +81,13 @@
 		expect(lending.isKnownSpent(account, 10, 3)).toBe(false)
 	})
 
-	it('asks for tokens in advance only once while answers are late', async () => {
-		const asked: number[] = []
+	it('requests tokens in advance only once while a response is late', async () => {
+		const requests: number[] = []
 		const lending = new TokenLending({
 			tokenPeers: {
 				...peersWithOneReachable('a:1', new Map()),
 				requestTokens: async (address, _account, { tokens, ahead }) => {
-					asked.push(ahead)
+					requests.push(ahead)
 					await sleep(address === 'a:1' ? 400 : 20)
 					return { ...EMPTY_LEND_RESPONSE, lent: tokens + ahead, budgetsVersion: 1 }
 				},
@@ -94,25 +97,25 @@
 			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceLedger()
+		const ledger = new AllowanceLedger()
 		const account = ACCOUNTS[0]!
-		book.recordDemand(account, 1_000, Date.now())
-		const result = lending.borrow(book, account, 100)
+		ledger.recordDemand(account, 1_000, Date.now())
+		const result = lending.borrow(ledger, account, 100)
 		await vi.advanceTimersByTimeAsync(300)
 		expect(await result).toBe('reserved')
-		expect(asked[0]).toBeGreaterThan(0)
-		expect(asked.slice(1)).toEqual([0])
+		expect(requests[0]).toBeGreaterThan(0)
+		expect(requests.slice(1)).toEqual([0])
 		await vi.advanceTimersByTimeAsync(500)
-		expect(book.free(account)).toBe(100 + (asked[0] ?? 0))
+		expect(ledger.free(account)).toBe(100 + (requests[0] ?? 0))
 	})
 
-	it('asks a box for one account while it still answers for another', async () => {
-		const asked: string[] = []
+	it('requests tokens of one account from a lender that still owes a response for another', async () => {
+		const requests: string[] = []
 		const lending = new TokenLending({
 			tokenPeers: {
 				...peersWithOneReachable('a:1', new Map()),
 				requestTokens: async (address, account, { tokens }) => {
-					asked.push(`${address} ${account}`)
+					requests.push(`${address} ${account}`)
 					await sleep(20)
 					return { ...EMPTY_LEND_RESPONSE, lent: tokens, budgetsVersion: 1 }
 				},
@@ -122,10 +125,10 @@
 			preferredLenders: () => LENDER_ADDRESSES,
 			log: () => undefined,
 		})
-		const book = new AllowanceLedger()
-		const results = ACCOUNTS.map((account) => lending.borrow(book, account, 10))
+		const ledger = new AllowanceLedger()
+		const results = ACCOUNTS.map((account) => lending.borrow(ledger, account, 10))
 		await vi.advanceTimersByTimeAsync(50)
 		expect(await Promise.all(results)).toEqual(ACCOUNTS.map(() => 'reserved'))
-		expect(asked).toEqual(ACCOUNTS.map((account) => `a:1 ${account}`))
+		expect(requests).toEqual(ACCOUNTS.map((account) => `a:1 ${account}`))
 	})
 })
--- a/packages/gateway/src/lib/TokenLending.ts
+++ b/packages/gateway/src/lib/TokenLending.ts
@@ -7,35 +7,35 @@
 import type { ReplicatedDraws } from './DrawReplicator.js'
 import { ReservationQueue, type ReserveResult } from './ReservationQueue.js'
 
-/** Tokens that a box asks another for. */
+/** Request for tokens from another box. */
 export interface LendRequest {
-	/** What requests wait for. */
+	/** Tokens that requests wait for. */
 	readonly tokens: number
-	/** What the next requests may need. */
+	/** Additional tokens that the next requests may need. */
 	readonly ahead: number
 }
 
-/** What a box answers that was asked for tokens. */
+/** Response of a lender. */
 export interface LendResponse {
-	/** Tokens that were handed over: those asked for, fewer, or some in advance as well. */
+	/** Tokens lent: the requested number, fewer, or some of the additional tokens as well. */
 	readonly lent: number
-	/** What may be left of the budget, wherever it lies: more than that nobody can get. */
+	/** Upper bound on the tokens of the account that remain in the whole fleet. */
 	readonly left: number
 	/** Tokens of the account that the lender still has free. */
 	readonly free: number
-	/** Store revision of the configuration under which the lender held the tokens. */
+	/** Version of the configuration under which the lender held the tokens. */
 	readonly budgetsVersion: number
-	/** Accounts that are nearly spent, with what may be left of each. */
+	/** Nearly exhausted accounts with an upper bound on the tokens that remain. */
 	readonly nearlySpent: readonly RemainingBudget[]
 }
 
-/** What may be left of the budget of an account at most, wherever it lies. */
+/** Upper bound on the tokens of an account that remain in the whole fleet. */
 export interface RemainingBudget {
 	readonly account: AccountName
 	readonly left: number
 }
 
-/** The answer of a box that has nothing, or does not answer. */
+/** Response of a lender that has no tokens or does not answer. */
 export const EMPTY_LEND_RESPONSE: LendResponse = {
 	lent: 0,
 	left: Number.POSITIVE_INFINITY,
@@ -44,18 +44,20 @@
 	nearlySpent: [],
 }
 
-/** Calls to other boxes about tokens. */
+/** Calls to other boxes that move tokens or replicate draws. */
 export interface TokenPeers {
 	/**
-	 * Asks one box to hand tokens over, and some in advance where it holds plenty;
-	 * {@link EMPTY_LEND_RESPONSE} where it does not answer. An answer may come late, and brings its tokens still.
+	 * Requests tokens from one box, which may lend some in advance. Resolves to {@link EMPTY_LEND_RESPONSE} if
+	 * the box does not answer. A late response still delivers its tokens.
 	 */
 	requestTokens(address: string, account: AccountName, request: LendRequest): Promise<LendResponse>
-	/** Tells one box of draws; false where it did not say that it keeps them. */
-	sendDraws(address: string, told: ReplicatedDraws): Promise<boolean>
-	/** Whether a box answers at all. */
+	/** Sends draws to one box; resolves to false unless the box confirms that it stored them. */
+	sendDraws(address: string, draws: ReplicatedDraws): Promise<boolean>
 	isReachable(address: string): Promise<boolean>
-	/** Gives tokens to one box. False: it may not have got them, and nobody else may get them. */
+	/**
+	 * Transfers tokens to one box. If this resolves to false, the box may still have received them, so they must
+	 * not be transferred again.
+	 */
 	transferTokens(
 		address: string,
 		account: AccountName,
@@ -64,49 +66,51 @@
 	): Promise<boolean>
 }
 
-/** What {@link TokenLending} works with. */
 export interface TokenLendingOptions {
 	readonly tokenPeers: TokenPeers
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly sleep: (ms: number) => Promise<void>
-	/** Addresses of the boxes to be asked for tokens of an account, in order. */
+	/** Addresses of the boxes that lend tokens of an account, in order of preference. */
 	readonly preferredLenders: (account: AccountName) => readonly string[]
 	readonly log: (event: LogEvent) => void
 }
 
-/** Boxes that are asked for tokens for one request. */
+/** Maximum number of lenders contacted to serve queued reservations. */
 const MAX_LENDERS_PER_REQUEST = 6
-/** Demand that a box asks for in advance, in seconds: a busy box then asks for many requests at once. */
+/** Demand for which a box requests tokens in advance, in seconds, so that a busy box sends fewer requests. */
 const PREFETCH_DEMAND_SECONDS = 1.2
 const MAX_BORROW_WAIT_MS = 1_500
-/** Time that a request waits for one box before the next is asked, in ms; the answer may still come. */
+/** Time to wait for one lender before contacting the next, in ms. The response may still arrive later. */
 const LENDER_TIMEOUT_MS = 160
-/** Time for which a box that would not take tokens is not asked again, in ms: a stop hands over many accounts. */
+/**
+ * Time before a box that did not accept tokens is tried again, in ms. A stopping box transfers many accounts in
+ * a row.
+ */
 const UNREACHABLE_RETRY_MS = 3_000
-/** Age up to which it counts what a box had left of an account when it last answered, in ms. */
+/** Maximum age of a reported number of free tokens that affects the order of lenders, in ms. */
 const MAX_FREE_TOKENS_AGE_MS = 400
 
-/** Requests for tokens of one account that have not been asked for yet, or are asked for together. */
+/** Reservations of one account that wait for borrowed tokens. */
 interface Borrowing {
-	readonly waiters: ReservationQueue
-	running: boolean
+	readonly queue: ReservationQueue
+	isRunning: boolean
 }
 
 /**
- * Tokens that move between boxes without the store. What is lent counts as spent at the lender, whose
- * draw goes on covering it; a lost answer loses tokens and never makes any.
+ * Moves tokens between boxes without the store. Lent tokens count as spent at the lender, whose draw still
+ * covers them, so that a lost response can lose tokens but never duplicate them.
  */
 export class TokenLending {
 	private readonly borrowings = new Map<AccountName, Borrowing>()
-	/** Calls about an account that no answer has come to yet. */
+	/** Number of unanswered token requests by account. */
 	private readonly pendingRequests = new Map<AccountName, number>()
-	/** Answers that boxes owe beyond the patience with them. */
+	/** Responses that are due after {@link LENDER_TIMEOUT_MS}, by address. */
 	private readonly lateResponses = new Map<string, Promise<LendResponse>>()
-	/** Boxes that took nothing, and until when they are not asked to. */
+	/** Times until which unreachable boxes are not tried again, by address. */
 	private readonly unreachableUntil = new Map<string, number>()
 	private readonly remainingTokens = new RemainingTokensCache()
-	/** What boxes had left when they last answered. */
+	/** Free tokens that lenders last reported, by address and account. */
 	private readonly lastFreeTokens = new Map<
 		string,
 		{ readonly free: number; readonly at: number }
@@ -115,174 +119,184 @@
 	constructor(private readonly options: TokenLendingOptions) {}
 
 	/**
-	 * Gathers what is missing from other boxes, in order, and sets it aside. Requests that come while
-	 * boxes are asked are asked for together.
+	 * Borrows the tokens that are missing for a reservation. Reservations that arrive during a round of requests
+	 * are served together in the next one.
 	 */
-	borrow(book: AllowanceLedger, account: AccountName, tokens: number): Promise<ReserveResult> {
-		const borrowing = this.borrowing(account)
-		const result = borrowing.waiters.enqueue(account, tokens, MAX_BORROW_WAIT_MS)
-		void this.processQueue(book, account, borrowing)
+	borrow(ledger: AllowanceLedger, account: AccountName, tokens: number): Promise<ReserveResult> {
+		const borrowing = this.borrowingFor(account)
+		const result = borrowing.queue.enqueue(account, tokens, MAX_BORROW_WAIT_MS)
+		void this.processQueue(ledger, account, borrowing)
 		return result
 	}
 
 	/**
-	 * True where other boxes lately told that so much is not left of an account, under the configuration of a
-	 * revision or a newer one: a request that needs it from them is refused at once.
+	 * True if other boxes recently reported that fewer tokens of the account remain, under this or a newer
+	 * configuration.
 	 */
 	isKnownSpent(account: AccountName, tokens: number, budgetsVersion: number): boolean {
 		return this.remainingTokens.isSpent(account, tokens, budgetsVersion, this.options.now())
 	}
 
 	private async processQueue(
-		book: AllowanceLedger,
+		ledger: AllowanceLedger,
 		account: AccountName,
 		borrowing: Borrowing,
 	): Promise<void> {
-		if (borrowing.running) return
-		borrowing.running = true
-		const { waiters } = borrowing
+		if (borrowing.isRunning) return
+		borrowing.isRunning = true
+		const { queue } = borrowing
 		try {
-			while (waiters.count > 0) {
-				const asked = waiters.count
-				const left = await this.gatherTokens(book, account, waiters.tokens()[account] ?? 0)
-				waiters.resolveFirst(asked, (_account, tokens) => {
-					if (book.reserve(account, tokens)) return 'reserved'
-					return tokens > left + usableTokens(book, account) ? 'spent' : 'unknown'
+			while (queue.count > 0) {
+				const queued = queue.count
+				const left = await this.gatherTokens(ledger, account, queue.tokensByAccount()[account] ?? 0)
+				queue.resolveFirst(queued, (_account, tokens) => {
+					if (ledger.reserve(account, tokens)) return 'reserved'
+					return tokens > left + usableTokens(ledger, account) ? 'spent' : 'unknown'
 				})
 			}
 		} finally {
-			borrowing.running = false
+			borrowing.isRunning = false
 		}
 	}
 
-	/** Asks until this box holds as much as is needed; returns what may be left of the budget at most. */
+	/**
+	 * Requests tokens from lenders until this box has `needed` tokens. Returns an upper bound on the tokens that
+	 * remain elsewhere.
+	 */
 	private async gatherTokens(
-		book: AllowanceLedger,
+		ledger: AllowanceLedger,
 		account: AccountName,
 		needed: number,
 	): Promise<number> {
 		let left = Number.POSITIVE_INFINITY
 		for (const address of this.rankedLenders(account, needed)) {
-			const tokens = needed - usableTokens(book, account)
-			if (tokens <= 0 || book.isClosed) return left
-			const request = { tokens: Math.ceil(tokens), ahead: this.prefetchTokens(book, account) }
-			const answer = await this.borrowFrom(book, address, account, request)
-			left = Math.min(left, answer.left)
+			const tokens = needed - usableTokens(ledger, account)
+			if (tokens <= 0 || ledger.isClosed) return left
+			const request = { tokens: Math.ceil(tokens), ahead: this.prefetchTokens(ledger, account) }
+			const response = await this.borrowFrom(ledger, address, account, request)
+			left = Math.min(left, response.left)
 			if (
-				this.borrowing(account).waiters.smallestRequest(account) >
-				left + usableTokens(book, account)
+				this.borrowingFor(account).queue.smallestRequest(account) >
+				left + usableTokens(ledger, account)
 			)
 				return left
 		}
-		if (needed > book.free(account)) await this.waitForLateResponse()
+		if (needed > ledger.free(account)) await this.waitForLateResponse()
 		return left
 	}
 
 	/**
-	 * Tokens that are asked for in advance: none while another answer about the account is still owed, which brings
-	 * some as well. A busy box reads answers late and asks the next lender meanwhile; what it then holds beyond its
-	 * demand is lost with it in a loss of power (4 s of the demand of the largest account where 1.2 s were meant).
+	 * Number of tokens to request in advance. It is 0 while another response for the account is due, because
+	 * that one brings tokens in advance as well and excess tokens are lost if this box loses power.
 	 */
-	private prefetchTokens(book: AllowanceLedger, account: AccountName): number {
+	private prefetchTokens(ledger: AllowanceLedger, account: AccountName): number {
 		if ((this.pendingRequests.get(account) ?? 0) > 0) return 0
 		return Math.ceil(
-			PREFETCH_DEMAND_SECONDS * book.view(account, this.options.now()).tokensPerSecond,
+			PREFETCH_DEMAND_SECONDS * ledger.view(account, this.options.now()).tokensPerSecond,
 		)
 	}
 
-	/** Waits for the next answer that a box owes, for a short time. */
+	/** Waits for the next late response, at most {@link LENDER_TIMEOUT_MS}. */
 	private async waitForLateResponse(): Promise<void> {
 		if (this.lateResponses.size === 0) return
 		await Promise.race([...this.lateResponses.values(), this.options.sleep(LENDER_TIMEOUT_MS)])
 	}
 
-	private borrowing(account: AccountName): Borrowing {
-		const known = this.borrowings.get(account)
-		if (known) return known
-		const borrowing = { waiters: new ReservationQueue(), running: false }
+	private borrowingFor(account: AccountName): Borrowing {
+		const existing = this.borrowings.get(account)
+		if (existing) return existing
+		const borrowing = { queue: new ReservationQueue(), isRunning: false }
 		this.borrowings.set(account, borrowing)
 		return borrowing
 	}
 
-	/** Gives what is free of an account, under the configuration of a revision, to the first box that answers. */
+	/** Transfers the free tokens of an account to the first reachable box. */
 	async transferUnspent(
-		book: AllowanceLedger,
+		ledger: AllowanceLedger,
 		account: AccountName,
 		budgetsVersion: number,
 	): Promise<void> {
-		const tokens = book.lendAll(account)
+		const tokens = ledger.lendAll(account)
 		if (tokens === 0) return
-		const to = await this.transferToFirst(account, tokens, budgetsVersion)
-		this.options.log({ name: 'allowance-handed-over', fields: { account, tokens, to } })
+		const recipient = await this.transferToFirst(account, tokens, budgetsVersion)
+		this.options.log({ name: 'allowance-handed-over', fields: { account, tokens, to: recipient } })
 	}
 
 	private async borrowFrom(
-		book: AllowanceLedger,
+		ledger: AllowanceLedger,
 		address: string,
 		account: AccountName,
 		request: LendRequest,
 	): Promise<LendResponse> {
-		const begun = this.options.now()
+		const startedAt = this.options.now()
 		this.pendingRequests.set(account, (this.pendingRequests.get(account) ?? 0) + 1)
-		const asked = this.options.tokenPeers
+		const responding = this.options.tokenPeers
 			.requestTokens(address, account, request)
-			.then((answer) => {
+			.then((response) => {
 				this.pendingRequests.set(account, (this.pendingRequests.get(account) ?? 0) - 1)
-				book.borrow(account, answer.lent, answer.budgetsVersion)
+				ledger.borrow(account, response.lent, response.budgetsVersion)
 				const now = this.options.now()
-				this.lastFreeTokens.set(freeTokensKey(address, account), { free: answer.free, at: now })
-				this.noteRemaining(account, answer, now)
-				const { lent, left } = answer
-				const fields = { account, lender: address, ...request, lent, left, tookMs: now - begun }
+				this.lastFreeTokens.set(freeTokensKey(address, account), { free: response.free, at: now })
+				this.noteRemaining(account, response, now)
+				const { lent, left } = response
+				const fields = { account, lender: address, ...request, lent, left, tookMs: now - startedAt }
 				this.options.log({ name: 'allowance-borrowed', fields })
-				return answer
+				return response
 			})
-		const patience = this.options.sleep(LENDER_TIMEOUT_MS).then(() => undefined)
-		const answer = await Promise.race([asked, patience])
-		if (answer) return answer
-		this.lateResponses.set(address, asked)
-		void asked.then(() => this.lateResponses.delete(address))
+		const timeout = this.options.sleep(LENDER_TIMEOUT_MS).then(() => undefined)
+		const response = await Promise.race([responding, timeout])
+		if (response) return response
+		this.lateResponses.set(address, responding)
+		void responding.then(() => this.lateResponses.delete(address))
 		return EMPTY_LEND_RESPONSE
 	}
 
-	private noteRemaining(account: AccountName, answer: LendResponse, now: number): void {
-		const { budgetsVersion, left, nearlySpent } = answer
+	private noteRemaining(account: AccountName, response: LendResponse, now: number): void {
+		const { budgetsVersion, left, nearlySpent } = response
 		this.remainingTokens.record(account, left, budgetsVersion, now)
-		for (const other of nearlySpent)
-			this.remainingTokens.record(other.account, other.left, budgetsVersion, now)
+		for (const remaining of nearlySpent)
+			this.remainingTokens.record(remaining.account, remaining.left, budgetsVersion, now)
 	}
 
-	/** Boxes to be asked: those that lately had too little come last, those that owe an answer are left out. */
+	/**
+	 * Lenders in the order in which to contact them: those that recently had too few tokens come last, and those
+	 * with a response due are left out.
+	 */
 	private rankedLenders(account: AccountName, needed: number): readonly string[] {
-		const oldest = this.options.now() - MAX_FREE_TOKENS_AGE_MS
-		const isShort = (address: string): boolean => {
-			const leftover = this.lastFreeTokens.get(freeTokensKey(address, account))
-			return leftover !== undefined && leftover.at > oldest && leftover.free < needed
+		const oldestAcceptedAt = this.options.now() - MAX_FREE_TOKENS_AGE_MS
+		const hasTooFewTokens = (address: string): boolean => {
+			const reported = this.lastFreeTokens.get(freeTokensKey(address, account))
+			return reported !== undefined && reported.at > oldestAcceptedAt && reported.free < needed
 		}
-		const open = this.options
+		const available = this.options
 			.preferredLenders(account)
 			.filter((address) => !this.lateResponses.has(address))
-		const best = [
-			...open.filter((address) => !isShort(address)),
-			...open.filter((address) => isShort(address)),
+		const ranked = [
+			...available.filter((address) => !hasTooFewTokens(address)),
+			...available.filter((address) => hasTooFewTokens(address)),
 		]
-		return best.slice(0, MAX_LENDERS_PER_REQUEST)
+		return ranked.slice(0, MAX_LENDERS_PER_REQUEST)
 	}
 
-	/** The box that took the tokens, or an empty text. A box that did not answer may have them. */
+	/**
+	 * Returns the address of the box that accepted the tokens, or an empty string. A box that did not answer may
+	 * have received them, so no other box is tried.
+	 */
 	private async transferToFirst(
 		account: AccountName,
 		tokens: number,
 		budgetsVersion: number,
 	): Promise<string> {
-		const { tokenPeers: lenders } = this.options
+		const { tokenPeers } = this.options
 		for (const address of this.firstLenders(account)) {
 			if ((this.unreachableUntil.get(address) ?? 0) > this.options.now()) continue
-			if (!(await lenders.isReachable(address))) {
+			if (!(await tokenPeers.isReachable(address))) {
 				this.unreachableUntil.set(address, this.options.now() + UNREACHABLE_RETRY_MS)
 				continue
 			}
-			return (await lenders.transferTokens(address, account, tokens, budgetsVersion)) ? address : ''
+			return (await tokenPeers.transferTokens(address, account, tokens, budgetsVersion))
+				? address
+				: ''
 		}
 		return ''
 	}
@@ -292,9 +306,9 @@
 	}
 }
 
-/** Tokens of an account that this box could set aside now. */
-function usableTokens(book: AllowanceLedger, account: AccountName): number {
-	return Math.max(0, book.free(account))
+/** Tokens of an account that this box can reserve now. */
+function usableTokens(ledger: AllowanceLedger, account: AccountName): number {
+	return Math.max(0, ledger.free(account))
 }
 
 function freeTokensKey(address: string, account: AccountName): string {
--- a/packages/gateway/src/lib/TokenReservation.ts
+++ b/packages/gateway/src/lib/TokenReservation.ts
@@ -2,15 +2,15 @@
 import type { AllowanceClient } from './AllowanceClient.js'
 import type { ReserveResult } from './ReservationQueue.js'
 
-/** The tokens set aside for one request; settled exactly once. */
+/** Tokens reserved for one request. They are settled at most once. */
 export class TokenReservation {
 	private held: { readonly account: AccountName; readonly tokens: number } | undefined
 
 	constructor(private readonly allowance: AllowanceClient) {}
 
-	/** Sets tokens aside, waiting for a draw where this box holds too little. */
-	async reserve(account: AccountName, tokens: number, patienceMs: number): Promise<ReserveResult> {
-		const result = await this.allowance.reserve(account, tokens, patienceMs)
+	/** Reserves tokens, waiting up to `timeoutMs` for a draw if this box holds too few. */
+	async reserve(account: AccountName, tokens: number, timeoutMs: number): Promise<ReserveResult> {
+		const result = await this.allowance.reserve(account, tokens, timeoutMs)
 		if (result === 'reserved') this.held = { account, tokens }
 		return result
 	}
@@ -18,7 +18,7 @@
 	/** Tokens charged so far. */
 	charged = 0
 
-	/** Charges up to what is held, and frees the rest. `Infinity` charges all of it. */
+	/** Charges up to the reserved number of tokens and frees the rest. `Infinity` charges all of them. */
 	settle(charged: number): void {
 		const { held } = this
 		if (!held) return
--- a/packages/gateway/src/lib/allowanceDocuments.ts
+++ b/packages/gateway/src/lib/allowanceDocuments.ts
@@ -2,25 +2,30 @@
 
 type JsonObject = Readonly<Record<string, unknown>>
 
-/** Reads the shared record of draws; undefined where the bytes are none. */
+/** Parses the shared draw record; returns undefined if the bytes are not a valid one. */
 export function readAllowanceRow(value: Buffer): AllowanceRow | undefined {
 	const row = parseObject(value)
-	if (!row || !isAmountRecord(row.budgets) || !isObject(row.boxes)) return undefined
+	if (!row || !isAmountMap(row.budgets) || !isObject(row.boxes)) return undefined
 	if (!Object.values(row.boxes).every(isBoxDraws) || !isOptionalNumber(row.era)) return undefined
 	if (row.budgetsVersion !== undefined)
 		return isAmount(row.budgetsVersion) ? (row as unknown as AllowanceRow) : undefined
-	// An older version names a revision of the store instead, which no version compares with.
+	// Older versions store a revision of the store, which cannot be compared with a configuration version.
 	return isAmount(row.budgetsAt)
 		? ({ ...row, budgetsVersion: 0 } as unknown as AllowanceRow)
 		: undefined
 }
 
-/** Reads the ceilings that a box promised; undefined where the bytes are none. */
-export function readSpendingMark(value: Buffer): SpendingLimits | undefined {
-	const mark = parseObject(value)
-	if (!mark || typeof mark.holder !== 'string' || !isAmountRecord(mark.marks)) return undefined
-	return typeof mark.wallTime === 'number' && isOptionalNumber(mark.era)
-		? (mark as unknown as SpendingLimits)
+/** Parses the spending limits of a box; returns undefined if the bytes are not valid spending limits. */
+export function readSpendingLimits(value: Buffer): SpendingLimits | undefined {
+	const spendingLimits = parseObject(value)
+	if (
+		!spendingLimits ||
+		typeof spendingLimits.holder !== 'string' ||
+		!isAmountMap(spendingLimits.marks)
+	)
+		return undefined
+	return typeof spendingLimits.wallTime === 'number' && isOptionalNumber(spendingLimits.era)
+		? (spendingLimits as unknown as SpendingLimits)
 		: undefined
 }
 
@@ -36,29 +41,26 @@
 function isBoxDraws(draws: unknown): boolean {
 	if (!isObject(draws) || typeof draws.holder !== 'string' || typeof draws.address !== 'string')
 		return false
-	// A rate that is none counts as 0 where it is read: it must not stop all draws.
-	const areRates = draws.rates === undefined || isObject(draws.rates)
-	const areNumbers = isOptionalNumber(draws.era) && isOptionalNumber(draws.windowPart)
-	const areRaised = draws.raised === undefined || isAmountRecord(draws.raised)
-	return (
-		isNumberRecord(draws.drawn) &&
-		isNumberRecord(draws.spent) &&
-		areRates &&
-		areNumbers &&
-		areRaised
-	)
+	// Invalid rates count as 0 where they are used, so that they do not block draws.
+	const ratesOk = draws.rates === undefined || isObject(draws.rates)
+	const numbersOk = isOptionalNumber(draws.era) && isOptionalNumber(draws.windowPart)
+	const raisedOk = draws.raised === undefined || isAmountMap(draws.raised)
+	return isNumberMap(draws.drawn) && isNumberMap(draws.spent) && ratesOk && numbersOk && raisedOk
 }
 
-/** What a box has drawn and spent is below zero where it gave back more than it drew: others lent it tokens. */
-function isNumberRecord(value: unknown): boolean {
-	return isObject(value) && Object.values(value).every((one) => Number.isFinite(one))
+/**
+ * True for an object whose values are all finite numbers. Draws can be negative when a box returns tokens that
+ * it had borrowed.
+ */
+function isNumberMap(value: unknown): boolean {
+	return isObject(value) && Object.values(value).every((item) => Number.isFinite(item))
 }
 
 function isOptionalNumber(value: unknown): boolean {
 	return value === undefined || Number.isFinite(value)
 }
 
-function isAmountRecord(value: unknown): boolean {
+function isAmountMap(value: unknown): boolean {
 	return isObject(value) && Object.values(value).every(isAmount)
 }
 
--- a/packages/gateway/src/lib/testBudgetFleet.ts
+++ b/packages/gateway/src/lib/testBudgetFleet.ts
@@ -15,27 +15,26 @@
 
 export const ACCOUNT = brandId<AccountName>('acme')
 export const BOXES = ['box-1', 'box-2', 'box-3'] as const
-/** Time in which all boxes have claimed the right to draw: a claim waits for the age of its process. */
+/** Time within which all boxes claim the right to draw, in ms. A claim waits for a minimum uptime of its process. */
 export const CLAIM_ALL_MS = 1_000
 
-/** One process of a box. */
 interface BoxProcess {
 	client: AllowanceClient
 	isDead: boolean
-	/** For how long its machine was suspended while it ran, in ms. */
+	/** Total time for which its box was suspended, in ms. */
 	suspendedMs: number
-	/** Resolves when its machine goes on; undefined while it runs. */
+	/** Resolves when its box resumes; undefined while the box runs. */
 	resumed: Promise<void> | undefined
 }
 
-/** Some boxes that share one budget, in virtual time. */
+/** Boxes that share one budget, in virtual time. */
 export class BudgetTestFleet {
 	spent = 0
-	/** Records of money that a box could not read. */
+	/** Number of allowance documents that a box could not parse. */
 	unreadableRecords = 0
 	readonly store: MemoryStore
 	private readonly processes = new Map<string, BoxProcess>()
-	/** By how much the time of day of a box is off, in ms. */
+	/** Offset of the wall clock of each box, in ms. */
 	private readonly wallClockOffsetsMs = new Map<string, number>()
 	private readonly cutOff = new Set<string>()
 	private readonly storeCalls = new Map<string, number>()
@@ -47,12 +46,12 @@
 
 	constructor(
 		readonly budget: number,
-		private readonly fateSeed: number,
-		/** Boxes that draw; the others borrow all that they spend. */
+		private readonly faultSeed: number,
+		/** Boxes that draw from the store; all others borrow. */
 		private readonly drawingBoxes: readonly string[] = BOXES,
-		/** Every seventh answer of a lender is lost, and its tokens with it. */
+		/** Whether every seventh lend response is lost together with its tokens. */
 		private readonly losesResponses = true,
-		/** Boxes whose answers to other boxes come late, and by how much, in ms. */
+		/** Delay of the lend responses of some boxes, in ms. */
 		private readonly responseDelaysMs: Readonly<Record<string, number>> = {},
 		private readonly boxes: readonly string[] = BOXES,
 	) {
@@ -67,31 +66,34 @@
 	}
 
 	start(box: string): void {
-		const entry: BoxProcess = {
+		const boxProcess: BoxProcess = {
 			client: undefined as unknown as AllowanceClient,
 			isDead: false,
 			suspendedMs: 0,
 			resumed: undefined,
 		}
-		const steady = (): number => Date.now() - entry.suspendedMs
+		const monotonicNow = (): number => Date.now() - boxProcess.suspendedMs
 		const address = `${box}:1`
 		const startedAt = Date.now()
 		const store = new EraTrackingStore(this.store.connection(box), {
-			onEraChange: ({ previousEra: before }) => {
-				if (before > 0 && !entry.isDead) entry.client.onEraChange()
+			onEraChange: ({ previousEra }) => {
+				if (previousEra > 0 && !boxProcess.isDead) boxProcess.client.onEraChange()
 			},
 			onMissingEra: () => undefined,
 		})
-		entry.client = new AllowanceClient({
-			store: storeForProcess(store, entry),
+		boxProcess.client = new AllowanceClient({
+			store: storeForProcess(store, boxProcess),
 			recordKey: 'allowance',
 			spendingLimitKey: `mark/${box}`,
 			box: brandId<BoxName>(box),
 			holder: brandId<Incarnation>(`${box}-${this.startCount++}`),
 			address,
 			replicaAddresses: () => {
-				const own = this.drawingBoxes.indexOf(box)
-				const others = [...this.drawingBoxes.slice(own + 1), ...this.drawingBoxes.slice(0, own)]
+				const ownIndex = this.drawingBoxes.indexOf(box)
+				const others = [
+					...this.drawingBoxes.slice(ownIndex + 1),
+					...this.drawingBoxes.slice(0, ownIndex),
+				]
 				return others.filter((other) => other !== box).map((other) => `${other}:1`)
 			},
 			isFirstStart: this.startCount <= this.boxes.length,
@@ -100,88 +102,87 @@
 			lenderAddresses: () =>
 				this.drawingBoxes.filter((other) => other !== box).map((other) => `${other}:1`),
 			metrics: new Metrics(),
-			now: steady,
+			now: monotonicNow,
 			wallTime: () => Date.now() + (this.wallClockOffsetsMs.get(box) ?? 0),
-			uptimeMs: () => steady() - startedAt,
+			uptimeMs: () => monotonicNow() - startedAt,
 			random: () => 0.5,
 			sleep,
 			log: ({ fields }) => {
 				if (fields.fault === 'unreadable') this.unreadableRecords++
 			},
 		})
-		entry.client.setBudgets(this.budgets)
-		this.processes.set(box, entry)
-		if (this.drawingBoxes.includes(box)) void entry.client.claim()
+		boxProcess.client.setBudgets(this.budgets)
+		this.processes.set(box, boxProcess)
+		if (this.drawingBoxes.includes(box)) void boxProcess.client.claim()
 	}
 
-	/** The process of a box is gone; a new one starts a little later. */
+	/** Kills the process of a box and starts a new one after `downMs`. */
 	kill(box: string, downMs = 600): void {
-		const entry = this.processes.get(box)
-		if (!entry || entry.isDead) return
-		entry.isDead = true
+		const boxProcess = this.processes.get(box)
+		if (!boxProcess || boxProcess.isDead) return
+		boxProcess.isDead = true
 		setTimeout(() => this.start(box), downMs)
 	}
 
-	/** The machine of a box is suspended: its steady clock stands still, and it hears and does nothing. */
+	/** Suspends a box: its monotonic clock stops, and it neither receives nor sends anything. */
 	suspend(box: string, ms: number): void {
-		const entry = this.processes.get(box)
-		if (!entry || entry.isDead || entry.resumed) return
-		entry.resumed = sleep(ms).then(() => {
-			entry.suspendedMs += ms
-			entry.resumed = undefined
+		const boxProcess = this.processes.get(box)
+		if (!boxProcess || boxProcess.isDead || boxProcess.resumed) return
+		boxProcess.resumed = sleep(ms).then(() => {
+			boxProcess.suspendedMs += ms
+			boxProcess.resumed = undefined
 		})
 	}
 
-	/** The time of day of a box is set. */
-	setWallClockOffset(box: string, byMs: number): void {
-		this.wallClockOffsetsMs.set(box, byMs)
+	setWallClockOffset(box: string, offsetMs: number): void {
+		this.wallClockOffsetsMs.set(box, offsetMs)
 	}
 
 	async stop(box: string): Promise<void> {
-		const entry = this.processes.get(box)
-		if (!entry || entry.isDead) return
-		await entry.client.returnUnspent()
+		const boxProcess = this.processes.get(box)
+		if (!boxProcess || boxProcess.isDead) return
+		await boxProcess.client.returnUnspent()
 		this.kill(box)
 	}
 
 	setBudgets(version: number, tokens: Readonly<Record<string, number>>): void {
 		this.budgets = { version, tokens }
-		for (const { client, isDead: dead } of this.processes.values())
-			if (!dead) client.setBudgets({ version, tokens })
+		for (const { client, isDead } of this.processes.values())
+			if (!isDead) client.setBudgets({ version, tokens })
 	}
 
-	setCutOff(box: string, cut: boolean): void {
-		if (cut) this.cutOff.add(box)
+	setCutOff(box: string, isCutOff: boolean): void {
+		if (isCutOff) this.cutOff.add(box)
 		else this.cutOff.delete(box)
 	}
 
-	setStoreFaults(stormy: boolean): void {
-		this.hasStoreFaults = stormy
+	setStoreFaults(hasStoreFaults: boolean): void {
+		this.hasStoreFaults = hasStoreFaults
 	}
 
-	/** A request: what it reserved counts as spent until less is charged. */
-	async request(box: string, tokens: number, chargedPart: number): Promise<boolean> {
-		const entry = this.processes.get(box)
-		if (!entry || entry.isDead || entry.resumed) return false
-		const result = await entry.client.reserve(ACCOUNT, tokens, 500)
-		if (result !== 'reserved' || entry.isDead) return false
+	/** Sends a request to a box. The reserved tokens count as spent until the request settles for fewer. */
+	async request(box: string, tokens: number, chargedFraction: number): Promise<boolean> {
+		const boxProcess = this.processes.get(box)
+		if (!boxProcess || boxProcess.isDead || boxProcess.resumed) return false
+		const result = await boxProcess.client.reserve(ACCOUNT, tokens, 500)
+		if (result !== 'reserved' || boxProcess.isDead) return false
 		this.spent += tokens
 		setTimeout(() => {
-			if (entry.isDead) return
-			const charged = Math.floor(tokens * chargedPart)
-			entry.client.settle(ACCOUNT, tokens, charged)
+			if (boxProcess.isDead) return
+			const charged = Math.floor(tokens * chargedFraction)
+			boxProcess.client.settle(ACCOUNT, tokens, charged)
 			this.spent -= tokens - charged
 		}, 300)
 		return true
 	}
 
 	async maintain(): Promise<void> {
-		for (const { resumed: awake, client, isDead: dead } of this.processes.values())
-			if (!dead && !awake) void client.maintain()
+		for (const { resumed, client, isDead } of this.processes.values())
+			if (!isDead && !resumed) void client.maintain()
 		await vi.advanceTimersByTimeAsync(0)
 	}
 
-	/** Calls of a box that reached the store. */
+	/** Number of store calls that a box has made. */
 	storeCallsOf(box: string): number {
 		return this.storeCalls.get(box) ?? 0
 	}
@@ -192,47 +193,47 @@
 		if (this.cutOff.has(caller)) return 'lost'
 		if (!this.hasStoreFaults) return 'served'
 		const fates: readonly CallFate[] = ['served', 'answer-lost', 'late', 'refused', 'served']
-		return fates[(this.fateCount * 7 + this.fateSeed) % fates.length] ?? 'served'
+		return fates[(this.fateCount * 7 + this.faultSeed) % fates.length] ?? 'served'
 	}
 
-	private tokenPeers(self: string): TokenPeers {
-		const other = (address: string) => {
-			const entry = this.processes.get(address.replace(':1', ''))
-			return entry && !entry.isDead && !entry.resumed ? entry.client : undefined
+	private tokenPeers(box: string): TokenPeers {
+		const clientAt = (address: string) => {
+			const boxProcess = this.processes.get(address.replace(':1', ''))
+			return boxProcess && !boxProcess.isDead && !boxProcess.resumed ? boxProcess.client : undefined
 		}
 		return {
 			requestTokens: async (address, account, request) => {
 				await sleep(2)
-				const answer = (await other(address)?.lend(account, request)) ?? EMPTY_LEND_RESPONSE
+				const response = (await clientAt(address)?.lend(account, request)) ?? EMPTY_LEND_RESPONSE
 				await sleep(2 + (this.responseDelaysMs[address.replace(':1', '')] ?? 0))
 				const isLost = this.losesResponses && this.lendResponseCount++ % 7 === 6
-				return isLost ? EMPTY_LEND_RESPONSE : answer
+				return isLost ? EMPTY_LEND_RESPONSE : response
 			},
-			sendDraws: async (address, told) => {
+			sendDraws: async (address, draws) => {
 				await sleep(2)
-				const isTaken = other(address)?.receiveDraws(told) ?? false
+				const isStored = clientAt(address)?.receiveDraws(draws) ?? false
 				await sleep(2)
-				return isTaken
+				return isStored
 			},
-			isReachable: async (address) => other(address) !== undefined && address !== `${self}:1`,
+			isReachable: async (address) => clientAt(address) !== undefined && address !== `${box}:1`,
 			transferTokens: async (address, account, tokens, budgetsVersion) =>
-				other(address)?.acceptTokens(account, tokens, budgetsVersion) ?? false,
+				clientAt(address)?.acceptTokens(account, tokens, budgetsVersion) ?? false,
 		}
 	}
 }
 
 /**
- * A store whose callers are gone once the process is: nothing more is sent, nothing comes back. While the machine is
- * suspended, calls and answers wait.
+ * Wraps a store so that calls and answers wait while the box is suspended and are dropped once its process is
+ * dead.
  */
-function storeForProcess(store: KeyValueStore, process: BoxProcess): KeyValueStore {
+function storeForProcess(store: KeyValueStore, boxProcess: BoxProcess): KeyValueStore {
 	const guard = <A extends unknown[], R>(call: (...args: A) => Promise<R>) => {
 		return async (...args: A): Promise<R> => {
-			await process.resumed
-			if (process.isDead) return new Promise<R>(() => undefined)
+			await boxProcess.resumed
+			if (boxProcess.isDead) return new Promise<R>(() => undefined)
 			const result = await call(...args)
-			await process.resumed
-			return process.isDead ? new Promise<R>(() => undefined) : result
+			await boxProcess.resumed
+			return boxProcess.isDead ? new Promise<R>(() => undefined) : result
 		}
 	}
 	return {
@@ -250,7 +251,7 @@
 	}
 }
 
-/** Lets time pass, with the maintenance of all boxes. */
+/** Advances the virtual time and maintains all boxes several times per second. */
 export async function advance(fleet: BudgetTestFleet, ms: number): Promise<void> {
 	let left = ms
 	while (left > 0) {
@@ -261,7 +262,7 @@
 	}
 }
 
-/** Asks and waits for the result, in virtual time. */
+/** Sends a request and advances the virtual time until it has a result. */
 export async function requestAndWait(
 	fleet: BudgetTestFleet,
 	box: string,
