--- a/packages/gateway/src/lib/AllowanceClaimer.ts
+++ b/packages/gateway/src/lib/AllowanceClaimer.ts
@@ -30,7 +30,7 @@
 const MAX_CLAIM_CONFLICT_DELAY_MS = 40
 /**
  * Time to wait for other boxes to write the draws that the previous process replicated to them, in ms.
- * Afterwards the unallocated part of every budget counts as spent.
+ * Afterwards all tokens that no box is known to have drawn count as spent.
  */
 const REPLICATED_DRAWS_WAIT_MS = 5_000
 
--- a/packages/gateway/src/lib/AllowanceDrawer.ts
+++ b/packages/gateway/src/lib/AllowanceDrawer.ts
@@ -170,9 +170,9 @@
 		return view.unspent + this.state.undrawn(view)
 	}
 
-	/** Requests a draw and waits until it reserves the tokens, at most `ms`. */
-	waitForDraw(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
-		const result = this.queue.enqueue(account, tokens, ms)
+	/** Requests a draw and waits up to `timeoutMs` for it to reserve the tokens. */
+	waitForDraw(account: AccountName, tokens: number, timeoutMs: number): Promise<ReserveResult> {
+		const result = this.queue.enqueue(account, tokens, timeoutMs)
 		void this.draw()
 		return result
 	}
--- a/packages/gateway/src/lib/ReservationQueue.ts
+++ b/packages/gateway/src/lib/ReservationQueue.ts
@@ -18,13 +18,13 @@
 		return this.queue.length
 	}
 
-	/** Queues a reservation. Resolves to `unknown` if it is still queued after `ms`. */
-	enqueue(account: AccountName, tokens: number, ms: number): Promise<ReserveResult> {
+	/** Queues a reservation. Resolves to `unknown` if it is still queued after `timeoutMs`. */
+	enqueue(account: AccountName, tokens: number, timeoutMs: number): Promise<ReserveResult> {
 		return new Promise((resolve) => {
 			const timer = setTimeout(() => {
 				this.queue = this.queue.filter((other) => other !== entry)
 				resolve('unknown')
-			}, ms)
+			}, timeoutMs)
 			const entry: QueuedReservation = { account, tokens, resolve, timer }
 			this.queue.push(entry)
 		})
--- a/packages/gateway/src/lib/TokenLending.ts
+++ b/packages/gateway/src/lib/TokenLending.ts
@@ -53,6 +53,7 @@
 	requestTokens(address: string, account: AccountName, request: LendRequest): Promise<LendResponse>
 	/** Sends draws to one box; resolves to false unless the box confirms that it stored them. */
 	sendDraws(address: string, draws: ReplicatedDraws): Promise<boolean>
+	/** Whether the box answers and is not stopping. */
 	isReachable(address: string): Promise<boolean>
 	/**
 	 * Transfers tokens to one box. If this resolves to false, the box may still have received them, so they must
@@ -83,10 +84,7 @@
 const MAX_BORROW_WAIT_MS = 1_500
 /** Time to wait for one lender before contacting the next, in ms. The response may still arrive later. */
 const LENDER_TIMEOUT_MS = 160
-/**
- * Time before a box that did not accept tokens is tried again, in ms. A stopping box transfers many accounts in
- * a row.
- */
+/** Time before an unreachable box is tried again, in ms. A stopping box transfers many accounts in a row. */
 const UNREACHABLE_RETRY_MS = 3_000
 /** Maximum age of a reported number of free tokens that affects the order of lenders, in ms. */
 const MAX_FREE_TOKENS_AGE_MS = 400
--- a/packages/gateway/src/lib/restoredAllowance.test.ts
+++ b/packages/gateway/src/lib/restoredAllowance.test.ts
@@ -3,9 +3,8 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { ACCOUNT, BOXES, BudgetTestFleet, CLAIM_ALL_MS, advance } from './testBudgetFleet.js'
 
-// A store that is restored from a backup loses recent draws and spending limits. These tests guard against the
-// lost draws being made again, which would spend more than a budget, also after the processes of boxes were
-// killed.
+// A store that is restored from a backup lacks recent draws and spending limits. These tests check that the
+// missing tokens are not drawn twice, also if boxes are killed in the meantime.
 
 const BUDGET = 30_000
 /** A budget that is large compared with the draws of one box. */
@@ -63,8 +62,8 @@
 ]
 
 /**
- * Minimum fraction of a large budget that is spent. Where no box knows the draws made since the backup, all
- * tokens that the backup does not list as drawn by other boxes stay reserved.
+ * Minimum fraction of a large budget that is spent. If no running box knows the draws made since the backup, all
+ * tokens that the backup does not list as drawn are withheld.
  */
 const MIN_SPENT_FRACTIONS: Readonly<Record<string, number>> = {
 	'no box is killed': 0.97,
@@ -194,7 +193,7 @@
 		expect(overspent).toEqual([])
 	})
 
-	it('reserve tokens that may be spent, and spend the rest of a large budget', async () => {
+	it('withhold tokens that may have been spent, and spend the rest of a large budget', async () => {
 		const outOfRange: string[] = []
 		for (const scenario of SCENARIOS) {
 			const spent = await tokensSpentIn(scenario, LARGE_BUDGET)
