--- a/packages/gateway/src/lib/AllowanceDrawer.ts
+++ b/packages/gateway/src/lib/AllowanceDrawer.ts
@@ -65,12 +65,14 @@
  * their draws again, in ms.
  */
 const MAX_RECORD_AGE_AFTER_RESTORE_MS = 300
+/** Time after a restore for which {@link MAX_RECORD_AGE_AFTER_RESTORE_MS} applies, in ms. */
 const RESTORE_SETTLE_MS = 10_000
 /** Duration of one write of the record, in ms. */
 const RECORD_WRITE_MS = 10
 /** Delay after a failed store call before {@link AllowanceDrawer.maintain} makes another, in ms. */
 const FAULT_RETRY_DELAY_MS = 900
 const MAX_WRITE_ATTEMPTS = 8
+/** Maximum delay after the second conflict of a write, in ms. It grows by as much with each further conflict. */
 const CONFLICT_BACKOFF_MS = 12
 const CLAIM_RETRY_DELAY_MS = 200
 
