--- a/packages/gateway/src/lib/AllowanceDrawer.ts
+++ b/packages/gateway/src/lib/AllowanceDrawer.ts
@@ -261,8 +261,8 @@
 	}
 
 	/**
-	 * True if a waiting request needs more tokens than this box holds, and a draw could provide them. Otherwise
-	 * an occasional draw still publishes how much this box has spent.
+	 * True if a waiting request needs more tokens than this box holds and a draw could provide them. If a draw
+	 * could not, it is still true at times, so that the box publishes how much it has spent.
 	 */
 	private queueNeedsDraw(): boolean {
 		const isIntervalOver = this.options.now() - this.lastDrawAt >= MIN_DRAW_INTERVAL_MS
