--- a/packages/core/src/lib/placement/AttemptHandle.ts
+++ b/packages/core/src/lib/placement/AttemptHandle.ts
@@ -3,29 +3,30 @@
 import type { TargetLoad } from './TargetEntry.js'
 import type { TargetOutcome } from './TargetState.js'
 
-/** An attempt under way: what the board is told about it. @public */
+/** Reports the progress of one attempt to the `TargetRegistry`. @public */
 export interface AttemptHandle {
 	readonly target: TargetName
+	/** Expected time to first byte. */
 	readonly expectedMs: Millis
-	/** False where the target takes no new work any more: to be asked just before the request leaves. */
+	/** False if the target no longer accepts the request. Must be called immediately before sending it. */
 	maySend(now: Millis): boolean
-	/** Bytes of the answer came. */
+	/** Records that bytes of the response arrived. */
 	noteByte(now: Millis): void
-	/** The target told for how much longer it is cold. */
+	/** Records for how much longer the target is cold, as it reported. */
 	noteCold(coldMs: Millis, now: Millis): void
 	noteLoad(load: TargetLoad, now: Millis): void
-	/** The target said in its answer that it leaves. True where this is news. */
+	/** Records that the target announced that it is leaving. True if this was not known yet. */
 	noteLeaving(now: Millis): boolean
-	/** The target asked this box to send nothing for so long. Returns when that ends. */
+	/** Records a backoff that the target requested. Returns when the backoff ends. */
 	noteBackoff(ms: Millis, now: Millis): Millis
 	/**
-	 * The answer names so many requests a second for all boxes together, or no rate (undefined). True where this is
-	 * news.
+	 * Records the rate limit, in requests per second for all boxes together, that the response advertises; undefined if
+	 * it has none. True if the limit changed.
 	 */
 	noteRate(perSecond: number | undefined, now: Millis): boolean
-	/** The answer names a rate in words that are not understood. True where they are others than before. */
+	/** Records a rate limit header that could not be parsed. True if its text differs from the last one. */
 	noteUnreadableRate(text: string): boolean
-	/** No byte of the request left this box: what it was counted for is free again. To be said before the end. */
+	/** Records that no byte of the request was sent, which reverts its rate limit counts. Must be called before `end`. */
 	noteUnsent(): void
-	end(verdict: TargetOutcome, now: Millis): void
+	end(outcome: TargetOutcome, now: Millis): void
 }
--- a/packages/core/src/lib/placement/ExpiredTargets.test.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.test.ts
@@ -18,53 +18,53 @@
 const names = (entries: readonly TargetEntry[]): string[] =>
 	entries.map((entry) => entry.name).sort()
 
-describe('LapsedTargets', () => {
-	it('drops a target at once while the store answers', () => {
-		const lapsed = new ExpiredTargets()
-		lapsed.update([target('a'), target('b')], 0)
-		expect(names(lapsed.update([target('a')], 10))).toEqual(['a'])
+describe('ExpiredTargets', () => {
+	it('removes a missing target immediately while the store is reachable', () => {
+		const targets = new ExpiredTargets()
+		targets.update([target('a'), target('b')], 0)
+		expect(names(targets.update([target('a')], 10))).toEqual(['a'])
 	})
 
-	it('keeps a target whose entry ran out while the store was away, for a short time', () => {
-		const lapsed = new ExpiredTargets()
-		lapsed.update([target('a'), target('b'), target('c', true)], 0)
-		lapsed.noteContact(false, 1_000)
-		expect(names(lapsed.update([target('a')], 9_000))).toEqual(['a', 'b'])
-		lapsed.noteContact(true, 9_000)
-		expect(names(lapsed.refresh(10_000))).toEqual(['a', 'b'])
-		expect(names(lapsed.lapsed)).toEqual(['b'])
-		expect(names(lapsed.refresh(11_000))).toEqual(['a'])
+	it('keeps a target whose entry expired while the store was unreachable, for a grace period', () => {
+		const targets = new ExpiredTargets()
+		targets.update([target('a'), target('b'), target('c', true)], 0)
+		targets.noteContact(false, 1_000)
+		expect(names(targets.update([target('a')], 9_000))).toEqual(['a', 'b'])
+		targets.noteContact(true, 9_000)
+		expect(names(targets.refresh(10_000))).toEqual(['a', 'b'])
+		expect(names(targets.lapsed)).toEqual(['b'])
+		expect(names(targets.refresh(11_000))).toEqual(['a'])
 	})
 
-	it('takes the new entry of a target that came back', () => {
-		const lapsed = new ExpiredTargets()
-		lapsed.update([target('a'), target('b')], 0)
-		lapsed.noteContact(false, 1_000)
-		lapsed.update([target('a')], 9_000)
-		lapsed.noteContact(true, 9_000)
-		expect(lapsed.update([target('a'), target('b', true)], 9_500)).toHaveLength(2)
-		expect(lapsed.lapsed).toEqual([])
-		expect(names(lapsed.update([target('a')], 9_600))).toEqual(['a'])
+	it('uses the new entry of a target that is listed again', () => {
+		const targets = new ExpiredTargets()
+		targets.update([target('a'), target('b')], 0)
+		targets.noteContact(false, 1_000)
+		targets.update([target('a')], 9_000)
+		targets.noteContact(true, 9_000)
+		expect(targets.update([target('a'), target('b', true)], 9_500)).toHaveLength(2)
+		expect(targets.lapsed).toEqual([])
+		expect(names(targets.update([target('a')], 9_600))).toEqual(['a'])
 	})
 
-	it('keeps a missing target for one grace only, however often contact is lost', () => {
-		const lapsed = new ExpiredTargets()
-		lapsed.update([target('a'), target('b')], 0)
-		lapsed.noteContact(false, 1_000)
-		lapsed.update([target('a')], 2_000)
+	it('does not extend the grace period when contact is lost repeatedly', () => {
+		const targets = new ExpiredTargets()
+		targets.update([target('a'), target('b')], 0)
+		targets.noteContact(false, 1_000)
+		targets.update([target('a')], 2_000)
 		for (let now = 2_000; now < 12_000; now += 1_500) {
-			lapsed.noteContact(true, now)
-			lapsed.noteContact(false, now + 100)
+			targets.noteContact(true, now)
+			targets.noteContact(false, now + 100)
 		}
-		expect(names(lapsed.refresh(4_000))).toEqual(['a'])
+		expect(names(targets.refresh(4_000))).toEqual(['a'])
 	})
 
-	it('drops a target that is found missing some time after the return at the end of the grace', () => {
-		const lapsed = new ExpiredTargets()
-		lapsed.update([target('a'), target('b')], 0)
-		lapsed.noteContact(false, 1_000)
-		lapsed.noteContact(true, 5_000)
-		expect(names(lapsed.update([target('a')], 6_000))).toEqual(['a', 'b'])
-		expect(names(lapsed.refresh(6_800))).toEqual(['a'])
+	it('ends the grace period at the same time for a target that goes missing during it', () => {
+		const targets = new ExpiredTargets()
+		targets.update([target('a'), target('b')], 0)
+		targets.noteContact(false, 1_000)
+		targets.noteContact(true, 5_000)
+		expect(names(targets.update([target('a')], 6_000))).toEqual(['a', 'b'])
+		expect(names(targets.refresh(6_800))).toEqual(['a'])
 	})
 })
--- a/packages/core/src/lib/placement/ExpiredTargets.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.ts
@@ -3,50 +3,49 @@
 import type { TargetEntry } from './TargetEntry.js'
 
 /**
- * Time after the return of the store for which an entry that went missing is taken as lapsed only, in
- * ms: targets that live write their entries anew within about two seconds.
+ * Time after the store becomes available again in which a missing entry counts as expired rather than removed. Live
+ * targets renew their entries within about two seconds.
  */
-const LAPSE_GRACE_MS: Millis = 1_700
+const EXPIRY_GRACE_MS: Millis = 1_700
 
-/** A target that is used although it is not listed, and until when. */
-interface LapsedTarget {
+/** A target that stays in use until `until` although it is not listed. */
+interface ExpiredTarget {
 	readonly entry: TargetEntry
 	readonly until: Millis
 }
 
 /**
- * Entries of targets run out while the store is away, although the targets live. One that was not
- * leaving when it was last listed is kept for a short time after the return of the store, and is taken
- * as gone if it is still missing then. That time is fixed once, when the entry is found missing: contact
- * that comes and goes does not lengthen it.
+ * Keeps targets in use whose entries expired while the store was unavailable, as live targets cannot renew them then. A
+ * target that was not leaving is kept until a grace period after the store is available again. The end of that period is
+ * set once, when the entry is first missing, so that repeated loss of contact does not extend it.
  * @public
  */
 export class ExpiredTargets {
 	private listed: readonly TargetEntry[] = []
 	private unusable: readonly TargetName[] = []
-	private retained: readonly LapsedTarget[] = []
+	private retained: readonly ExpiredTarget[] = []
 	private isStoreReachable = true
 	private graceUntil: Millis = Number.NEGATIVE_INFINITY
 
 	/**
-	 * The store answers again, or does not. `answeredMs` is the time for which it has answered other boxes. A
-	 * short time says when it returned for all; a long one says that only this box was cut off, perhaps
-	 * together with targets: these then write their entries anew from now on.
+	 * Records whether the store is reachable. `answeredMs` is the time for which it has answered other boxes. A short time
+	 * tells when the store became available to all boxes. A long one means that only this box had lost contact, perhaps
+	 * together with targets, which renew their entries from now on.
 	 */
-	noteContact(reached: boolean, now: Millis, answeredMs: Millis = 0): void {
-		const sinceReturn = answeredMs < LAPSE_GRACE_MS ? answeredMs : 0
-		if (reached && !this.isStoreReachable) this.graceUntil = now - sinceReturn + LAPSE_GRACE_MS
-		this.isStoreReachable = reached
+	noteContact(isReachable: boolean, now: Millis, answeredMs: Millis = 0): void {
+		const availableMs = answeredMs < EXPIRY_GRACE_MS ? answeredMs : 0
+		if (isReachable && !this.isStoreReachable) this.graceUntil = now - availableMs + EXPIRY_GRACE_MS
+		this.isStoreReachable = isReachable
 	}
 
-	/** The store came back from a copy: entries that it lacks are written anew by targets that live. */
+	/** Records that the store was restored from a copy. Live targets renew the entries that the copy lacks. */
 	noteRestored(now: Millis): void {
-		this.graceUntil = Math.max(this.graceUntil, now + LAPSE_GRACE_MS)
+		this.graceUntil = Math.max(this.graceUntil, now + EXPIRY_GRACE_MS)
 	}
 
 	/**
-	 * Takes the newest list; returns the targets that are to be used. `unusable`: targets whose entries are there and
-	 * can't be used, which did not run out.
+	 * Applies the newest target list and returns the targets to use. `unusable` names targets whose entries exist but cannot
+	 * be used; these have not expired.
 	 */
 	update(
 		listed: readonly TargetEntry[],
@@ -54,29 +53,29 @@
 		unusable: readonly TargetName[] = [],
 	): readonly TargetEntry[] {
 		const names = new Set<TargetName>([...listed.map((entry) => entry.name), ...unusable])
-		const until = this.isStoreReachable ? this.graceUntil : now + LAPSE_GRACE_MS
+		const until = this.isStoreReachable ? this.graceUntil : now + EXPIRY_GRACE_MS
 		const missing = this.listed
 			.filter((entry) => !entry.leaving)
-			.map((entry): LapsedTarget => ({ entry, until }))
+			.map((entry): ExpiredTarget => ({ entry, until }))
 		this.retained = [...this.retained, ...missing].filter(
-			(lapsed) => !names.has(lapsed.entry.name) && now < lapsed.until,
+			(target) => !names.has(target.entry.name) && now < target.until,
 		)
 		this.listed = listed
 		this.unusable = unusable
 		return [...listed, ...this.lapsed]
 	}
 
-	/** Targets that are used although they are not listed. */
+	/** Targets that are in use although they are not listed. */
 	get lapsed(): readonly TargetEntry[] {
-		return this.retained.map((lapsed) => lapsed.entry)
+		return this.retained.map((target) => target.entry)
 	}
 
-	/** True where a target is used although it is not listed; asked for each choice. */
+	/** True if a target is in use although it is not listed. */
 	isExpired(target: TargetName): boolean {
 		return this.retained.some(({ entry }) => entry.name === target)
 	}
 
-	/** The list as it stands now that time has passed. */
+	/** The targets to use from the last list at the time `now`. */
 	refresh(now: Millis): readonly TargetEntry[] {
 		return this.update(this.listed, now, this.unusable)
 	}
--- a/packages/core/src/lib/placement/FleetRateLimiter.ts
+++ b/packages/core/src/lib/placement/FleetRateLimiter.ts
@@ -3,60 +3,58 @@
 import type { BoxName, TargetName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** How a rate that holds for all boxes together is divided among them. @public */
+/** Allocation of a fleet-wide rate limit to the boxes that send. @public */
 export interface RateAllocation {
-	/** Boxes that send to the target: the same ones for all, by rendezvous. */
+	/** Number of boxes that send to the target; rendezvous hashing selects them. */
 	readonly senders: number
-	/** Rate of the token bucket of each of them, in requests a second. */
+	/** Refill rate of each sender's token bucket, in requests per second. */
 	readonly perSecond: number
-	/** Depth of that bucket, in requests. */
+	/** Capacity of each sender's token bucket, in requests. */
 	readonly burst: number
 	/**
-	 * Senders begin one after the other, so that the target gets single requests at even distances. Otherwise with empty
-	 * buckets, so that one that restarts does not spend its burst twice.
+	 * True: senders start with staggered fill levels, so that their requests reach the target evenly spaced. False: they
+	 * start with empty buckets, so that a restarted box does not send its burst twice.
 	 */
-	readonly isSpaced: boolean
+	readonly isStaggered: boolean
 }
 
-/** A rate of requests to one target that holds for all boxes together. @public */
+/** A limit on the rate of requests of all boxes together to one target. @public */
 export interface FleetRateLimit {
-	/** Its division among so many boxes. */
+	/** Allocates the limit to a fleet of this many boxes. */
 	readonly allocate: (boxes: number) => RateAllocation
 	/**
-	 * When a box that may not send tries one request, because it has not heard for long whether the rate still holds:
-	 * from `dueAt` on, later by a part of `spreadMs` that differs from box to box. Undefined: its end is known beforehand.
+	 * When a box without a share sends a single request to find out whether the limit still applies: at `dueAt` plus a
+	 * delay of up to `jitterMs` that differs between boxes. Undefined if boxes know the end of the limit in advance.
 	 */
 	readonly probe: { readonly dueAt: Millis; readonly jitterMs: Millis } | undefined
 }
 
-/** What a {@link FleetRateLimiter} works with. @public */
+/** @public */
 export interface FleetRateLimiterOptions {
 	readonly self: BoxName
-	/** The boxes of the fleet: the same array for as long as they stay the same. */
+	/** All boxes of the fleet. Returns the same array instance until the boxes change. */
 	readonly boxes: () => readonly BoxName[]
-	/** True where the other boxes know this one and this one knows them. */
+	/** True once this box and the other boxes know each other; nothing is sent before. */
 	readonly isSettled: () => boolean
 }
 
-/** The part of this box in a rate. @public */
+/** Share of this box in a fleet-wide rate limit. @public */
 export interface RateLimitShare {
-	/** Requests a second; 0 where it is none of the senders. */
+	/** Requests per second; 0 if this box is not a sender. */
 	readonly perSecond: number
-	/** Requests that it may send now. */
+	/** Requests that this box may send now. */
 	readonly tokens: number
 }
 
 interface TokenBucket {
-	/** This box is one of those that send to the target. */
 	isSender: boolean
-	/** Requests a second of this box; 0 where it is no sender. */
+	/** Refill rate in requests per second; 0 if this box is not a sender. */
 	perSecond: number
-	/** The boxes, and the number of senders among them, by which that was found. */
+	/** Boxes and number of senders from which `isSender` was computed. */
 	boxes: readonly BoxName[]
 	senders: number
 	tokens: number
 	refilledAt: Millis
-	/** When this box last sent a request. */
 	lastSentAt: Millis
 }
 
@@ -64,10 +62,10 @@
 const HASH_RANGE = 2 ** 32
 
 /**
- * Keeps the requests of all boxes to one target below a rate, without a word between boxes for each request: a few of
- * them send there, the same by rendezvous for all, each through a token bucket of its share. Shares divided by all
- * boxes would not do: a bucket holds one request at least, and 75 boxes with one request each are several times what a
- * target in need bears.
+ * Limits the rate of requests of all boxes together to one target without coordination per request. Rendezvous hashing
+ * selects a few boxes, the same on every box, and each of them sends through a token bucket with its share. The limit is
+ * not divided among all boxes, because each bucket holds at least one request: one request from each of 75 boxes at
+ * once is several times what an overloaded target can take.
  * @public
  */
 export class FleetRateLimiter {
@@ -75,81 +73,81 @@
 
 	constructor(private readonly options: FleetRateLimiterOptions) {}
 
-	/** True where this box may send the target one more request now. */
-	canSend(target: TargetName, rate: FleetRateLimit, now: Millis): boolean {
-		return this.options.isSettled() && this.nextSendAt(target, rate, now) <= now
+	/** True if this box may send the target another request now. */
+	canSend(target: TargetName, limit: FleetRateLimit, now: Millis): boolean {
+		return this.options.isSettled() && this.nextSendAt(target, limit, now) <= now
 	}
 
-	/** When this box may send the target one more request, as far as is known; Infinity: never. */
-	nextSendAt(target: TargetName, rate: FleetRateLimit, now: Millis): Millis {
-		const bucket = this.bucket(target, rate, now)
-		if (bucket.perSecond === 0) return this.probeAt(target, bucket, rate)
+	/** When this box may send the target its next request; Infinity if never under this limit. */
+	nextSendAt(target: TargetName, limit: FleetRateLimit, now: Millis): Millis {
+		const bucket = this.bucket(target, limit, now)
+		if (bucket.perSecond === 0) return this.probeAt(target, bucket, limit)
 		return now + (Math.max(0, 1 - bucket.tokens) / bucket.perSecond) * SECOND_MS
 	}
 
-	/** Counts a request that goes to the target now. */
-	consume(target: TargetName, rate: FleetRateLimit, now: Millis): void {
-		const bucket = this.bucket(target, rate, now)
-		// A trial goes without a token: taken as a debt, trials of minutes would hold back what is named afterwards.
+	/** Counts a request that is sent to the target now. */
+	consume(target: TargetName, limit: FleetRateLimit, now: Millis): void {
+		const bucket = this.bucket(target, limit, now)
+		// Probes are sent without a token. A negative balance from probes would delay requests under the next limit.
 		bucket.tokens = Math.max(0, bucket.tokens - 1)
 		bucket.lastSentAt = now
 	}
 
-	/** A request that was counted did not leave. */
+	/** Reverts the count of a request that was not sent. */
 	refund(target: TargetName): void {
 		const bucket = this.buckets.get(target)
 		if (bucket) bucket.tokens++
 	}
 
-	/** The part of this box in the rate. */
-	shareOf(target: TargetName, rate: FleetRateLimit, now: Millis): RateLimitShare {
-		const { perSecond, tokens } = this.bucket(target, rate, now)
+	shareOf(target: TargetName, limit: FleetRateLimit, now: Millis): RateLimitShare {
+		const { perSecond, tokens } = this.bucket(target, limit, now)
 		return { perSecond, tokens }
 	}
 
-	/** The rate no longer holds, or the target is gone. */
+	/** Deletes the bucket of a target that was removed or has no limit any longer. */
 	forget(target: TargetName): void {
 		this.buckets.delete(target)
 	}
 
-	/** The bucket of a target, filled up to now. */
-	private bucket(target: TargetName, rate: FleetRateLimit, now: Millis): TokenBucket {
+	/** The bucket of a target, refilled up to now. */
+	private bucket(target: TargetName, limit: FleetRateLimit, now: Millis): TokenBucket {
 		const bucket = this.buckets.get(target) ?? newBucket(now)
 		this.buckets.set(target, bucket)
-		const division = rate.allocate(this.options.boxes().length)
-		this.updateAllocation(target, bucket, division)
-		bucket.perSecond = bucket.isSender ? division.perSecond : 0
-		const filled = bucket.tokens + ((now - bucket.refilledAt) / SECOND_MS) * bucket.perSecond
-		bucket.tokens = bucket.isSender ? Math.min(division.burst, filled) : 0
+		const allocation = limit.allocate(this.options.boxes().length)
+		this.updateAllocation(target, bucket, allocation)
+		bucket.perSecond = bucket.isSender ? allocation.perSecond : 0
+		const refilled = bucket.tokens + ((now - bucket.refilledAt) / SECOND_MS) * bucket.perSecond
+		bucket.tokens = bucket.isSender ? Math.min(allocation.burst, refilled) : 0
 		bucket.refilledAt = now
 		return bucket
 	}
 
-	/** Finds out whether this box is a sender, where the boxes or the number of senders changed. */
+	/** Recomputes whether this box is a sender if the boxes or the number of senders changed. */
 	private updateAllocation(
 		target: TargetName,
 		bucket: TokenBucket,
-		division: RateAllocation,
+		allocation: RateAllocation,
 	): void {
 		const boxes = this.options.boxes()
-		const { isSpaced, senders } = division
+		const { isStaggered, senders } = allocation
 		if (bucket.boxes === boxes && bucket.senders === senders) return
 		const rank = rendezvousRank(target, this.options.self, boxes, senders)
-		if (rank !== undefined && !bucket.isSender && isSpaced) bucket.tokens = 1 - (rank + 1) / senders
+		if (rank !== undefined && !bucket.isSender && isStaggered)
+			bucket.tokens = 1 - (rank + 1) / senders
 		bucket.isSender = rank !== undefined
 		bucket.boxes = boxes
 		bucket.senders = senders
 	}
 
-	/** When a box that may not send tries one request. */
+	/** When a box without a share may send a probe; Infinity if the limit allows none. */
 	private probeAt(
 		target: TargetName,
-		{ lastSentAt: sentAt }: TokenBucket,
-		{ probe: trial }: FleetRateLimit,
+		{ lastSentAt }: TokenBucket,
+		{ probe }: FleetRateLimit,
 	): Millis {
-		if (!trial) return Infinity
-		const part = fnv1a(`${target}\u0000${this.options.self}`) / HASH_RANGE
-		return Math.max(trial.dueAt, sentAt) + part * trial.jitterMs
+		if (!probe) return Infinity
+		const fraction = fnv1a(`${target}\u0000${this.options.self}`) / HASH_RANGE
+		return Math.max(probe.dueAt, lastSentAt) + fraction * probe.jitterMs
 	}
 }
 
--- a/packages/core/src/lib/placement/Placement.ts
+++ b/packages/core/src/lib/placement/Placement.ts
@@ -5,27 +5,27 @@
 import type { TargetEntry } from './TargetEntry.js'
 import type { TargetIncarnation } from './TargetIncarnation.js'
 
-/** A request that needs a target. @public */
+/** A request for which a target is to be chosen. @public */
 export interface PlacementQuery {
 	readonly service: ServiceName
 	readonly zone: ZoneName
 	readonly work: DeclaredWork | undefined
-	/** Lives of targets that this request was sent to before. */
+	/** Incarnations of targets to which this request was sent before. */
 	readonly tried: ReadonlySet<TargetIncarnation>
-	/** Targets that can't take another connection from this box. */
+	/** True if the target cannot accept another connection from this box. */
 	readonly isFull: (target: TargetName) => boolean
-	/** False where the request may not run in a zone. */
+	/** True if the request may run in the zone. */
 	readonly mayRunIn: (zone: ZoneName) => boolean
-	/** True where this box holds a connection to the target that nothing uses. */
+	/** True if this box has an idle connection to the target. */
 	readonly hasIdleConnection: (target: TargetName) => boolean
 }
 
-/** The place chosen, with what decided it. @public */
+/** The chosen target and the facts behind the choice. @public */
 export interface Placement {
 	readonly target: TargetEntry
 	readonly cost: PlacementCost
-	/** Targets that could have been chosen. */
+	/** Number of targets that could have been chosen. */
 	readonly candidates: number
-	/** Age of the load that the target told, in ms; -1 where it told none. */
+	/** Age of the target's last load report, in ms; -1 if there is none. */
 	readonly loadAgeMs: Millis
 }
--- a/packages/core/src/lib/placement/PrefixCacheIndex.ts
+++ b/packages/core/src/lib/placement/PrefixCacheIndex.ts
@@ -1,28 +1,28 @@
 import type { PromptPart } from '../traffic/DeclaredWork.js'
 
-/** Tokens that are remembered of a target, as a part of nothing it said: a bound on memory only. */
+/** Bounds the memory of the index. It does not reflect the size of the target's cache. */
 const MAX_CACHED_PREFIXES = 4_000
 
 /**
- * What this box believes that one target keeps of prompts: the parts of requests that it sent there,
- * the longest unused forgotten first. A part counts only with all parts before it.
+ * Estimates which prompt prefixes one target has in its prefix cache, from the requests that this box sent to it. Evicts
+ * the least recently used prefixes first.
  */
 export class PrefixCacheIndex {
 	private readonly cached = new Set<string>()
 
-	record(chains: readonly string[]): void {
-		for (const chain of chains) {
-			this.cached.delete(chain)
-			this.cached.add(chain)
+	record(keys: readonly string[]): void {
+		for (const key of keys) {
+			this.cached.delete(key)
+			this.cached.add(key)
 		}
 		this.evict()
 	}
 
-	/** Tokens at the start of the prompt that the target is believed to keep. */
-	cachedTokens(chains: readonly string[], parts: readonly PromptPart[]): number {
+	/** Tokens of the longest prompt prefix that the target is estimated to have cached. */
+	cachedTokens(keys: readonly string[], parts: readonly PromptPart[]): number {
 		let tokens = 0
-		for (let i = 0; i < chains.length; i++) {
-			if (!this.cached.has(chains[i] ?? '')) return tokens
+		for (let i = 0; i < keys.length; i++) {
+			if (!this.cached.has(keys[i] ?? '')) return tokens
 			tokens += parts[i]?.tokens ?? 0
 		}
 		return tokens
@@ -36,8 +36,8 @@
 	}
 }
 
-/** A name for each part together with all parts before it. */
+/** A key for each prompt prefix: each part together with all parts before it. */
 export function promptPrefixKeys(parts: readonly PromptPart[]): string[] {
-	let chain = ''
-	return parts.map((part) => (chain = `${chain}/${part.id}`))
+	let key = ''
+	return parts.map((part) => (key = `${key}/${part.id}`))
 }
--- a/packages/core/src/lib/placement/RateLimitStatus.ts
+++ b/packages/core/src/lib/placement/RateLimitStatus.ts
@@ -2,12 +2,12 @@
 import type { Millis } from '../units.js'
 import type { RateLimitShare } from './FleetRateLimiter.js'
 
-/** A rate that a target named for all boxes together, and what this box has of it. @public */
+/** A rate limit that a target advertises for all boxes together, with the share of this box. @public */
 export interface RateLimitStatus {
 	readonly target: TargetName
-	/** Requests a second. */
+	/** Requests per second. */
 	readonly perSecond: number
-	/** Age of the target's newest word, in ms. */
+	/** Time since the target last advertised the limit, in ms. */
 	readonly ageMs: Millis
 	readonly share: RateLimitShare
 }
--- a/packages/core/src/lib/placement/RestoredTargetFilter.test.ts
+++ b/packages/core/src/lib/placement/RestoredTargetFilter.test.ts
@@ -3,7 +3,7 @@
 import { RestoredTargetFilter } from './RestoredTargetFilter.js'
 import { entry } from './testEntries.js'
 
-function at(era: number, number: number): StoreRevision {
+function revision(era: number, number: number): StoreRevision {
 	return { era, number }
 }
 
@@ -11,52 +11,60 @@
 	return entries.map(({ name, leaving }) => (leaving ? `${name} leaves` : name))
 }
 
-describe('RestoredTargets', () => {
-	it('takes lists of one era as they are', () => {
+describe('RestoredTargetFilter', () => {
+	it('does not change lists within one era', () => {
 		const targets = new RestoredTargetFilter()
-		const leaving = entry('a', { leaving: true, revision: at(1, 1) })
-		expect(namesOf(targets.apply([leaving], at(1, 1), 0))).toEqual(['a leaves'])
-		expect(namesOf(targets.apply([entry('a', { revision: at(1, 2) })], at(1, 2), 1))).toEqual(['a'])
-		expect(namesOf(targets.apply([], at(1, 3), 2))).toEqual([])
-		expect(namesOf(targets.apply([entry('a', { revision: at(1, 4) })], at(1, 4), 3))).toEqual(['a'])
+		const leaving = entry('a', { leaving: true, revision: revision(1, 1) })
+		expect(namesOf(targets.apply([leaving], revision(1, 1), 0))).toEqual(['a leaves'])
+		expect(
+			namesOf(targets.apply([entry('a', { revision: revision(1, 2) })], revision(1, 2), 1)),
+		).toEqual(['a'])
+		expect(namesOf(targets.apply([], revision(1, 3), 2))).toEqual([])
+		expect(
+			namesOf(targets.apply([entry('a', { revision: revision(1, 4) })], revision(1, 4), 3)),
+		).toEqual(['a'])
 	})
 
-	it('lets no target take back that it leaves, in this and later eras, but its next life', () => {
+	it('keeps a target leaving in later eras, but not its next incarnation', () => {
 		const targets = new RestoredTargetFilter()
-		targets.apply([entry('a', { bornAt: 5, leaving: true, revision: at(1, 9) })], at(1, 9), 0)
+		targets.apply(
+			[entry('a', { bornAt: 5, leaving: true, revision: revision(1, 9) })],
+			revision(1, 9),
+			0,
+		)
 		for (const era of [2, 3]) {
-			const copied = entry('a', { bornAt: 5, revision: at(era, 4) })
-			expect(namesOf(targets.apply([copied], at(era, 5), era * 10_000))).toEqual(['a leaves'])
+			const copied = entry('a', { bornAt: 5, revision: revision(era, 4) })
+			expect(namesOf(targets.apply([copied], revision(era, 5), era * 10_000))).toEqual(['a leaves'])
 		}
-		const next = entry('a', { bornAt: 6, revision: at(3, 8) })
-		expect(namesOf(targets.apply([next], at(3, 8), 40_000))).toEqual(['a'])
+		const next = entry('a', { bornAt: 6, revision: revision(3, 8) })
+		expect(namesOf(targets.apply([next], revision(3, 8), 40_000))).toEqual(['a'])
 	})
 
-	it('takes an entry that had gone for a remnant, until targets that live have written theirs', () => {
+	it('leaves out an entry that had been removed, until live targets have renewed theirs', () => {
 		const targets = new RestoredTargetFilter()
-		const b = entry('b', { revision: at(1, 2) })
-		targets.apply([b], at(1, 2), 0)
-		targets.apply([], at(1, 3), 1_000)
-		const copied = entry('b', { revision: at(2, 2) })
-		expect(namesOf(targets.apply([copied], at(2, 2), 5_000))).toEqual([])
+		const b = entry('b', { revision: revision(1, 2) })
+		targets.apply([b], revision(1, 2), 0)
+		targets.apply([], revision(1, 3), 1_000)
+		const copied = entry('b', { revision: revision(2, 2) })
+		expect(namesOf(targets.apply([copied], revision(2, 2), 5_000))).toEqual([])
 		expect(targets.isDue(8_999)).toBe(false)
 		expect(targets.isDue(9_000)).toBe(true)
-		expect(namesOf(targets.apply([copied], at(2, 2), 9_000))).toEqual(['b'])
+		expect(namesOf(targets.apply([copied], revision(2, 2), 9_000))).toEqual(['b'])
 	})
 
-	it('forgets what has long gone', () => {
+	it('forgets targets that were removed long ago', () => {
 		const targets = new RestoredTargetFilter()
-		targets.apply([entry('b', { revision: at(1, 2) })], at(1, 2), 0)
-		targets.apply([], at(1, 3), 1_000)
-		targets.apply([], at(1, 4), 61_000)
+		targets.apply([entry('b', { revision: revision(1, 2) })], revision(1, 2), 0)
+		targets.apply([], revision(1, 3), 1_000)
+		targets.apply([], revision(1, 4), 61_000)
 		expect(targets.isDue(100_000)).toBe(false)
 	})
 
-	it('says nothing of targets that a copy lacks', () => {
+	it('uses the renewed entry of a target that was missing from the copy', () => {
 		const targets = new RestoredTargetFilter()
-		targets.apply([entry('a', { revision: at(1, 2) })], at(1, 2), 0)
-		targets.apply([], at(2, 1), 1_000)
-		const back = entry('a', { revision: at(2, 2) })
-		expect(namesOf(targets.apply([back], at(2, 2), 1_100))).toEqual(['a'])
+		targets.apply([entry('a', { revision: revision(1, 2) })], revision(1, 2), 0)
+		targets.apply([], revision(2, 1), 1_000)
+		const back = entry('a', { revision: revision(2, 2) })
+		expect(namesOf(targets.apply([back], revision(2, 2), 1_100))).toEqual(['a'])
 	})
 })
--- a/packages/core/src/lib/placement/ServiceLatencies.ts
+++ b/packages/core/src/lib/placement/ServiceLatencies.ts
@@ -1,14 +1,14 @@
 import type { ServiceName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** Taken for a service of which no request has been answered yet. */
+/** Assumed for a service without any response yet. */
 const INITIAL_LATENCY_MS: Millis = 20
-/** Weight of the newest answer. */
+/** Weight of the newest sample. */
 const SMOOTHING_WEIGHT = 0.05
-/** One answer that hangs says little about the others. */
+/** Caps a single sample, so that one hung response does not dominate the average. */
 const MAX_SAMPLE_MS: Millis = 500
 
-/** Time until the first byte of an answer, for requests without prompts, as learned from answers by service. */
+/** Smoothed time to first byte of each service, for requests without prompts. */
 export class ServiceLatencies {
 	private readonly smoothed = new Map<ServiceName, Millis>()
 
@@ -17,8 +17,8 @@
 	}
 
 	record(service: ServiceName, tookMs: Millis): void {
-		const before = this.of(service)
-		const counted = Math.min(MAX_SAMPLE_MS, tookMs)
-		this.smoothed.set(service, before + SMOOTHING_WEIGHT * (counted - before))
+		const previous = this.of(service)
+		const sampleMs = Math.min(MAX_SAMPLE_MS, tookMs)
+		this.smoothed.set(service, previous + SMOOTHING_WEIGHT * (sampleMs - previous))
 	}
 }
--- a/packages/core/src/lib/placement/TargetAdmission.ts
+++ b/packages/core/src/lib/placement/TargetAdmission.ts
@@ -12,48 +12,46 @@
 import { ZoneCordons, type CordonChanges, type ZoneCordon } from './ZoneCordons.js'
 
 /**
- * Why no target of a service takes new work:
- * - `none`: none is listed, or each is leaving.
- * - `cordoned`: those that are listed lie in cordoned zones.
- * - `backoff`: each that is left asked this box to send nothing for some time, or did until just now.
- * - `rate`: those that are left named a rate, and this box has no share in it left for now.
- * - `cold`: those that this box may use are cold and take no more for now; others may have asked for a backoff.
+ * Why no target of a service accepts requests:
+ * - `none`: no target is listed, or all are leaving.
+ * - `cordoned`: all remaining targets are in cordoned zones.
+ * - `backoff`: all remaining targets are in a backoff or reopening after one.
+ * - `rate`: this box has used up its share of the rate limit that a target advertises.
+ * - `cold`: the remaining targets are cold and at their limit; some of them may be in a backoff.
  * @public
  */
 export type ClosedCause = 'none' | 'cordoned' | 'backoff' | 'rate' | 'cold'
 
-/** A service without a target that takes new work. @public */
+/** State of a service of which no target accepts requests. @public */
 export interface ClosedService {
 	readonly cause: ClosedCause
-	/** When the first target takes work again, in ms from now; undefined where nothing tells. */
+	/** Time until the first target accepts requests again, in ms; undefined if unknown. */
 	readonly opensInMs: Millis | undefined
 }
 
 /**
- * Time after the end of a backoff in which a target gets one request of this box after the other, each once the one
- * before is answered, in ms. What was refused meanwhile comes back at the same time, at all boxes: sent there at once it
- * fills the target, which asks for the next backoff, over and over. A fleet of seven boxes that is over its capacity for
- * 3 s then serves 15 in 100 plain requests of a day of 15 s, and 58 with this (`backoffModel.test.ts`); 34 and 53 of
- * long ones.
+ * Time after a backoff in which this box sends the target one request at a time, each after the response to the one
+ * before. Callers refused during the backoff retry at about the same time at all boxes; without this limit their
+ * requests overload the target, which then requests the next backoff (`overloadSimulation.test.ts`).
  */
 const DEFAULT_REOPENING_MS: Millis = 1_000
 
-/** Rates that keep a request away, of which its log line tells. */
+/** Limits the length of log lines. */
 const MAX_REPORTED_RATE_LIMITS = 3
 
 const SECOND_MS = 1_000
 
 /** What a {@link TargetAdmission} works with. */
 export interface AdmissionOptions {
-	/** Undefined: rates of cold targets, and those that targets name, do not count. */
+	/** Undefined: neither the limits for cold targets nor advertised limits are enforced. */
 	readonly rateLimits?: TargetRateLimitsOptions
 	/** See {@link DEFAULT_REOPENING_MS}. */
 	readonly reopeningMs?: Millis
 }
 
 /**
- * Which targets take new work, whatever it would cost there: not those that leave, lie in a cordoned zone or asked this
- * box for a backoff, and cold ones or those that name a rate no faster than they bear.
+ * Decides which targets may receive requests, regardless of their cost. Excludes targets that are leaving, in a cordoned
+ * zone or in a backoff, and enforces the rate limits of cold targets and those that targets advertise.
  */
 export class TargetAdmission {
 	private readonly cordons = new ZoneCordons()
@@ -62,20 +60,20 @@
 	private readonly rateLimits: TargetRateLimits | undefined
 	private readonly reopeningMs: Millis
 
-	constructor({ rateLimits: rates, reopeningMs = DEFAULT_REOPENING_MS }: AdmissionOptions) {
+	constructor({ rateLimits, reopeningMs = DEFAULT_REOPENING_MS }: AdmissionOptions) {
 		this.rateLimits =
-			rates && new TargetRateLimits(rates, (service) => this.coldStarts.get(service))
+			rateLimits && new TargetRateLimits(rateLimits, (service) => this.coldStarts.get(service))
 		this.reopeningMs = reopeningMs
 	}
 
-	/** Takes how the targets of each service bear requests after a start; others bear all at once. */
+	/** Sets the cold-start behaviour of each service. Targets of other services have no cold phase. */
 	setColdStarts(coldStarts: ReadonlyMap<ServiceName, ColdStart>): void {
 		this.coldStarts = coldStarts
 	}
 
 	/**
-	 * Takes the newest list of cordons. Targets of a zone that was given back are taken as cold at first: they
-	 * may have turned cold shortly before, and the word of that may come later.
+	 * Replaces the complete list of cordons. Targets of a zone whose cordon was lifted are treated as cold at first: they
+	 * may have restarted shortly before, and their new entries may arrive later.
 	 */
 	replaceCordons(
 		cordons: readonly ZoneCordon[],
@@ -95,27 +93,27 @@
 		return this.cordons.zones
 	}
 
-	/** Time since this box learned of the cordon of a zone, in ms; undefined where there is none. */
+	/** Time since this box received the cordon of a zone, in ms; undefined if the zone has none. */
 	cordonAgeMs(zone: ZoneName, now: Millis): Millis | undefined {
 		return this.cordons.ageMs(zone, now)
 	}
 
-	/** True where neither the target nor the operator says otherwise. */
+	/** True if the target is not leaving and its zone is not cordoned. */
 	isInService(target: TargetState): boolean {
 		return !target.leaving && !this.cordons.has(target.entry.zone)
 	}
 
-	/** True where neither that nor a backoff that the target asked for keeps requests away from it. */
+	/** True if the target is in service and not in a backoff. */
 	isOpen(target: TargetState, now: Millis): boolean {
 		return this.isInService(target) && target.notice.backoffUntil <= now
 	}
 
-	/** A backoff ended shortly before, and the request that shows whether the target takes work again is under way. */
+	/** True if a backoff ended recently and a request to the target is waiting for its response. */
 	private isReopening(target: TargetState, now: Millis): boolean {
 		return now - target.notice.backoffUntil < this.reopeningMs && target.isAwaitingFirstByte
 	}
 
-	/** True where the target takes one more request of this box now. */
+	/** True if this box may send the target another request now. */
 	admits(target: TargetState, now: Millis): boolean {
 		return (
 			this.isOpen(target, now) &&
@@ -124,7 +122,7 @@
 		)
 	}
 
-	/** True where each rate that holds for the target lets one more request by that is not counted for it yet. */
+	/** True if each rate limit of the target, except those in `counted`, allows another request. */
 	isWithinRateLimits(
 		target: TargetState,
 		now: Millis,
@@ -133,55 +131,56 @@
 		return this.rateLimits?.allowsRequest(target, now, counted) ?? true
 	}
 
-	/** Counts a request that goes to the target now for each rate that holds, once. */
+	/** Counts a request against each rate limit of the target that is not in `counted`, and adds these to `counted`. */
 	countRequest(target: TargetState, now: Millis, counted: RateLimitKind[]): void {
 		this.rateLimits?.countRequest(target, now, counted)
 	}
 
-	/** A request that was counted did not leave. */
+	/** Reverts the counts of a request that was not sent, and empties `counted`. */
 	refund({ entry }: TargetState, counted: RateLimitKind[]): void {
 		this.rateLimits?.refund(entry, counted)
 	}
 
-	/** The rate that a target named, and the part of this box in it; undefined where there is none. */
+	/** The advertised rate limit of a target and this box's share of it; undefined if there is none. */
 	rateLimitStatus(target: TargetState, now: Millis): RateLimitStatus | undefined {
 		return this.rateLimits?.statusOf(target, now)
 	}
 
-	/** Rates that targets named and that keep requests of this box away now, some of them at most. */
+	/** Advertised rate limits that currently block requests of this box, up to {@link MAX_REPORTED_RATE_LIMITS}. */
 	exhaustedRateLimits(targets: readonly TargetState[], now: Millis): readonly RateLimitStatus[] {
-		const views: RateLimitStatus[] = []
+		const statuses: RateLimitStatus[] = []
 		for (const target of targets) {
-			if (views.length === MAX_REPORTED_RATE_LIMITS) break
+			if (statuses.length === MAX_REPORTED_RATE_LIMITS) break
 			if (!target.notice.rate || !this.isOpen(target, now)) continue
 			if (this.isWithinRateLimits(target, now)) continue
-			const view = this.rateLimitStatus(target, now)
-			if (view) views.push(view)
+			const status = this.rateLimitStatus(target, now)
+			if (status) statuses.push(status)
 		}
-		return views
+		return statuses
 	}
 
-	/** The target names no rate any more. */
+	/** Resets the limiter of a target that no longer advertises a rate limit. */
 	forgetAdvertisedLimit(target: TargetEntry): void {
 		this.rateLimits?.forgetAdvertised(target)
 	}
 
-	/** Forgets a target that is gone, or started again. */
+	/** Removes the state of a target that was removed or restarted. */
 	forget(target: TargetEntry): void {
 		this.rateLimits?.forget(target)
 	}
 
-	/** Why none of the targets of a service, in zones where a request may run, takes new work; undefined where one does. */
+	/** Why none of the targets in an allowed zone accepts requests; undefined if one does. */
 	closedCause(
 		targets: readonly TargetState[],
 		now: Millis,
 		mayRunIn: (zone: ZoneName) => boolean,
 	): ClosedService | undefined {
-		const isUsable = ({ entry }: TargetState): boolean => mayRunIn(entry.zone)
-		if (targets.some((target) => isUsable(target) && this.admits(target, now))) return undefined
-		const lasting = targets.filter((target) => isUsable(target) && !target.leaving)
-		if (lasting.length === 0) return { cause: 'none', opensInMs: undefined }
-		const inService = lasting.filter((target) => this.isInService(target))
+		const isInAllowedZone = ({ entry }: TargetState): boolean => mayRunIn(entry.zone)
+		if (targets.some((target) => isInAllowedZone(target) && this.admits(target, now)))
+			return undefined
+		const remaining = targets.filter((target) => isInAllowedZone(target) && !target.leaving)
+		if (remaining.length === 0) return { cause: 'none', opensInMs: undefined }
+		const inService = remaining.filter((target) => this.isInService(target))
 		if (inService.length === 0) return { cause: 'cordoned', opensInMs: undefined }
 		const opensAt = inService.map((target) => this.opensAt(target, now))
 		const opensInMs = Math.min(...opensAt) - now
@@ -191,25 +190,24 @@
 		}
 	}
 
-	/** When a target takes work again, as far as it is known. */
+	/** When a target is expected to accept requests again. */
 	private opensAt(target: TargetState, now: Millis): Millis {
-		const namedAt = this.rateLimits?.nextSendAt(target, now) ?? now
-		return Math.max(now, target.coldUntil, target.notice.backoffUntil, namedAt)
+		const withinLimitAt = this.rateLimits?.nextSendAt(target, now) ?? now
+		return Math.max(now, target.coldUntil, target.notice.backoffUntil, withinLimitAt)
 	}
 
 	private closedCauseOf(inService: readonly TargetState[], now: Millis): ClosedCause {
-		const isBackoff = inService.every(
+		const areAllInBackoff = inService.every(
 			(target) => !this.isOpen(target, now) || this.isReopening(target, now),
 		)
-		if (isBackoff) return 'backoff'
+		if (areAllInBackoff) return 'backoff'
 		return this.exhaustedRateLimits(inService, now).length > 0 ? 'rate' : 'cold'
 	}
 
 	/**
-	 * Time in which some box of the fleet may send to one of the targets again, by the rates that they named, in ms.
-	 * Callers who are refused come back on new connections, mostly to other boxes: told to wait for this box's own turn,
-	 * 69 in 100 are answered in time where 78 are with this, at 0.8 of what six targets take of seven boxes
-	 * (`rateReturnModel.test.ts`). A target in a backoff, or cold, takes no turn before that ends.
+	 * Average time between two requests of the whole fleet to the targets under their advertised rate limits, in ms.
+	 * Refused callers retry on new connections, mostly at other boxes, so the fleet's rate predicts their success better
+	 * than this box's share (`retrySimulation.test.ts`). Targets that are cold or in a backoff are left out.
 	 */
 	private fleetSendIntervalMs(targets: readonly TargetState[], now: Millis): Millis {
 		let perSecond = 0
--- a/packages/core/src/lib/placement/TargetChanges.ts
+++ b/packages/core/src/lib/placement/TargetChanges.ts
@@ -1,10 +1,10 @@
 import type { TargetEntry } from './TargetEntry.js'
 
-/** A change of the list of targets. @public */
+/** Changes between two target lists. @public */
 export interface TargetChanges {
 	readonly added: readonly TargetEntry[]
 	readonly leaving: readonly TargetEntry[]
 	readonly removed: readonly TargetEntry[]
-	/** Entries of lives that are over, of targets that have started again under their names. */
+	/** Previous entries of targets that restarted under the same name. */
 	readonly restarted: readonly TargetEntry[]
 }
--- a/packages/core/src/lib/placement/TargetEntry.ts
+++ b/packages/core/src/lib/placement/TargetEntry.ts
@@ -3,23 +3,23 @@
 import type { Millis } from '../units.js'
 import type { TargetIdentity } from './TargetIncarnation.js'
 
-/** A target as the list of targets tells it. It may start again under its name. @public */
+/** A target as the target list describes it. It can restart under the same name. @public */
 export interface TargetEntry extends TargetIdentity {
 	readonly service: ServiceName
-	/** IP number and port. Another target may get it once this one is gone. */
+	/** IP address and port. Can be reused by another target after this one has ended. */
 	readonly address: string
 	readonly zone: ZoneName
-	/** Requests that it works on at the same time. */
+	/** Number of requests that the target processes concurrently. */
 	readonly slots: number
-	/** It ends soon and takes no new work. */
+	/** True if the target ends soon and accepts no new requests. */
 	readonly leaving: boolean
-	/** How much longer it stays slow after its start, when the entry was read. */
+	/** Remaining cold phase after the start of the target, as of the time when the entry was read. */
 	readonly coldMs: Millis
 	/** Revision of the store at the last change of this entry. */
 	readonly revision: StoreRevision
 }
 
-/** Load that a target told of itself. @public */
+/** Load that a target reported. @public */
 export interface TargetLoad {
 	readonly running: number
 	readonly waiting: number
--- a/packages/core/src/lib/placement/TargetIncarnation.ts
+++ b/packages/core/src/lib/placement/TargetIncarnation.ts
@@ -1,22 +1,22 @@
 import { brandId, type Branded, type TargetName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** One start of a target: it holds and knows nothing of what it was before. @public */
-export type TargetIncarnation = Branded<'TargetLife'>
+/** Identifies one run of a target between a start and its end. No state survives a restart. @public */
+export type TargetIncarnation = Branded<'TargetIncarnation'>
 
-/** What tells the starts of a target apart. @public */
+/** The attributes that identify an incarnation of a target. @public */
 export interface TargetIdentity {
 	readonly name: TargetName
-	/** Time of day of the start, in ms; undefined where a new start always has a new name. */
+	/** Wall-clock time of the start, in ms; undefined if the target gets a new name with each start. */
 	readonly bornAt: Millis | undefined
 }
 
-/** The life of a target that an entry tells of. @public */
+/** @public */
 export function incarnationOf({ name, bornAt }: TargetIdentity): TargetIncarnation {
 	return brandId<TargetIncarnation>(bornAt === undefined ? name : `${name}@${bornAt}`)
 }
 
-/** True where an entry tells of an earlier start of the same target: a late word of what is gone. */
+/** True if `entry` is from an earlier start of the same target than `known`. */
 export function isEarlierIncarnation(entry: TargetIdentity, known: TargetIdentity): boolean {
 	if (entry.bornAt === undefined || known.bornAt === undefined) return false
 	return entry.bornAt < known.bornAt
--- a/packages/core/src/lib/placement/TargetNotices.ts
+++ b/packages/core/src/lib/placement/TargetNotices.ts
@@ -1,50 +1,49 @@
 import type { Millis } from '../units.js'
 import { incarnationOf, type TargetIncarnation, type TargetIdentity } from './TargetIncarnation.js'
 
-/** The requests a second that a target takes from all boxes together, for as long as its answers name it. */
+/** A rate limit for all boxes together that a target advertises in its responses. */
 export interface AdvertisedRate {
+	/** Requests per second. */
 	readonly perSecond: number
-	/** When it last named it, to this box or another, in ms of this box's steady clock. */
-	readonly saidAt: Millis
+	/** When the target last advertised it to any box, in ms of this box's monotonic clock. */
+	readonly reportedAt: Millis
 }
 
-/** What one life of a target said of itself in its answers to this box. */
+/** What one incarnation of a target announced in its responses. */
 export interface TargetNotice {
-	/** When it first said that it leaves; undefined where it did not. */
+	/** When it first announced that it is leaving; undefined if it did not. */
 	readonly leavingSince: Millis | undefined
-	/** It asked this box to send nothing until then. */
+	/** End of the backoff that it requested from this box. */
 	readonly backoffUntil: Millis
-	/** When it last asked for that. */
+	/** When it last requested a backoff. */
 	readonly backoffReportedAt: Millis
-	/** Undefined where it names none, or no longer. */
+	/** Undefined if it advertises no rate limit, or no longer does. */
 	readonly rate: AdvertisedRate | undefined
-	/** When it last named a rate, or no longer named the one that held. */
+	/** Time of the last response that advertised a rate limit or ended one. */
 	readonly rateReportedAt: Millis
-	/** The words in which it last named a rate that were not understood. */
+	/** The last rate limit header that could not be parsed. */
 	readonly unreadableRate: string | undefined
 }
 
-/** A notice, and since when its target has not been listed; undefined where it is. */
 interface StoredNotice extends TargetNotice {
+	/** Since when the incarnation has been missing from the target list; undefined while it is listed. */
 	unlistedSince: Millis | undefined
 }
 
 /**
- * Longest time for which a target is left alone at its own word, in ms. Targets ask for seconds, and one that wants
- * nothing for longer leaves; a word of hours is taken for a fault of the target, which must not cost it for good.
+ * Targets request backoffs of seconds. A request for hours is treated as a fault of the target, which must not take it
+ * out of service for that long.
  */
 const MAX_BACKOFF_MS: Millis = 600_000
 /**
- * How long the word of a target that is no longer listed is kept, in ms: entries run out while the store is away, for
- * minutes at most, and come back as they were before the word.
+ * How long the notice of an unlisted target is kept. Entries expire while the store is unavailable, which lasts minutes
+ * at most, and reappear with their content from before the notice.
  */
 const UNLISTED_RETENTION_MS: Millis = 600_000
-/** Notices that are kept of targets that are not listed, at most; the oldest give way. */
 const MAX_UNLISTED_NOTICES = 5_000
-/** What the clocks of a target and of a box may be apart, in ms: wrong by two seconds and more has been met. */
+/** Tolerated difference between the clocks of a target and a box. Differences above two seconds have occurred. */
 const MAX_CLOCK_SKEW_MS: Millis = 3_000
 
-/** The notice of a target that said nothing. */
 export const EMPTY_NOTICE: TargetNotice = {
 	leavingSince: undefined,
 	backoffUntil: Number.NEGATIVE_INFINITY,
@@ -55,9 +54,9 @@
 }
 
 /**
- * What targets said of themselves in their answers. It is kept by life, beside what the list says of targets: a list
- * that is read again, an entry that ran out and is back, or one that is older than the word does not undo it; a new
- * life does. While the store is away, this is the only word of a target that leaves.
+ * Notices that targets sent in their responses, kept for each incarnation and apart from the target list. A notice
+ * survives a re-read list, an entry that expires and reappears, and an entry older than the notice; a new incarnation
+ * starts without one. While the store is unavailable, notices are the only source that tells which targets are leaving.
  */
 export class TargetNotices {
 	private readonly notices = new Map<TargetIncarnation, StoredNotice>()
@@ -66,84 +65,87 @@
 		return this.notices.size === 0
 	}
 
-	/** What this life said. */
-	of(life: TargetIncarnation): TargetNotice {
-		return this.notices.get(life) ?? EMPTY_NOTICE
+	of(incarnation: TargetIncarnation): TargetNotice {
+		return this.notices.get(incarnation) ?? EMPTY_NOTICE
 	}
 
-	/** It said that it leaves. */
-	noteLeaving(life: TargetIncarnation, now: Millis): TargetNotice {
-		const before = this.of(life)
-		return this.store(life, { ...before, leavingSince: before.leavingSince ?? now })
+	noteLeaving(incarnation: TargetIncarnation, now: Millis): TargetNotice {
+		const before = this.of(incarnation)
+		return this.store(incarnation, { ...before, leavingSince: before.leavingSince ?? now })
 	}
 
-	/** It asked for so much time without requests. Of times that overlap, the later end holds. */
-	noteBackoff(life: TargetIncarnation, ms: Millis, now: Millis): TargetNotice {
-		const before = this.of(life)
+	/** Records a requested backoff. If backoffs overlap, the later end applies. */
+	noteBackoff(incarnation: TargetIncarnation, ms: Millis, now: Millis): TargetNotice {
+		const before = this.of(incarnation)
 		const until = now + Math.min(ms, MAX_BACKOFF_MS)
 		const backoffUntil = Math.max(before.backoffUntil, until)
-		return this.store(life, { ...before, backoffUntil, backoffReportedAt: now })
+		return this.store(incarnation, { ...before, backoffUntil, backoffReportedAt: now })
 	}
 
 	/**
-	 * Its answer of this time names so many requests a second for all boxes together, or none any more (undefined). Of
-	 * words that boxes tell each other, the newest holds.
+	 * Records the rate limit that a response advertised at `reportedAt`; undefined if the response had none. Boxes share
+	 * these reports, so they can arrive out of order: one older than the last recorded is ignored.
 	 */
-	noteRate(life: TargetIncarnation, perSecond: number | undefined, saidAt: Millis): TargetNotice {
-		const before = this.of(life)
-		const isNothing =
+	noteRate(
+		incarnation: TargetIncarnation,
+		perSecond: number | undefined,
+		reportedAt: Millis,
+	): TargetNotice {
+		const before = this.of(incarnation)
+		const isUnchanged =
 			perSecond === undefined && before.rateReportedAt === EMPTY_NOTICE.rateReportedAt
-		if (isNothing || saidAt < before.rateReportedAt) return before
-		const rate = perSecond === undefined ? undefined : { perSecond, saidAt }
-		return this.store(life, { ...before, rate, rateReportedAt: saidAt })
+		if (isUnchanged || reportedAt < before.rateReportedAt) return before
+		const rate = perSecond === undefined ? undefined : { perSecond, reportedAt }
+		return this.store(incarnation, { ...before, rate, rateReportedAt: reportedAt })
 	}
 
-	/** It named a rate in words that are not understood: what it named before stands. */
-	noteUnreadableRate(life: TargetIncarnation, text: string): TargetNotice {
-		const before = this.of(life)
+	/** Records a rate limit header that could not be parsed. The previous limit stays in force. */
+	noteUnreadableRate(incarnation: TargetIncarnation, text: string): TargetNotice {
+		const before = this.of(incarnation)
 		if (before.unreadableRate === text) return before
-		return this.store(life, { ...before, unreadableRate: text })
+		return this.store(incarnation, { ...before, unreadableRate: text })
 	}
 
 	/**
-	 * A target started again under its name, `ageMs` ago by this box's time of day. What was said well after the start
-	 * was said by the new life: its answers came before its entry, as they do while the store is away.
+	 * Handles the restart of a target `ageMs` ago by this box's wall clock. Notices received well after the restart came
+	 * from the new incarnation, whose responses can precede its entry while the store is unavailable: they are copied to it.
 	 */
-	noteRestart(from: TargetIdentity, to: TargetIdentity, ageMs: Millis, now: Millis): void {
+	noteRestart(previous: TargetIdentity, current: TargetIdentity, ageMs: Millis, now: Millis): void {
 		const {
 			leavingSince = Number.NEGATIVE_INFINITY,
-			backoffReportedAt: backoffSaidAt,
+			backoffReportedAt,
 			backoffUntil,
 			rate,
-		} = this.of(incarnationOf(from))
-		const surelyBorn = now - ageMs + MAX_CLOCK_SKEW_MS
-		const life = incarnationOf(to)
-		if (leavingSince >= surelyBorn) this.noteLeaving(life, leavingSince)
-		if (backoffSaidAt >= surelyBorn)
-			this.noteBackoff(life, backoffUntil - backoffSaidAt, backoffSaidAt)
-		if (rate && rate.saidAt >= surelyBorn) this.noteRate(life, rate.perSecond, rate.saidAt)
+		} = this.of(incarnationOf(previous))
+		const latestStart = now - ageMs + MAX_CLOCK_SKEW_MS
+		const incarnation = incarnationOf(current)
+		if (leavingSince >= latestStart) this.noteLeaving(incarnation, leavingSince)
+		if (backoffReportedAt >= latestStart)
+			this.noteBackoff(incarnation, backoffUntil - backoffReportedAt, backoffReportedAt)
+		if (rate && rate.reportedAt >= latestStart)
+			this.noteRate(incarnation, rate.perSecond, rate.reportedAt)
 	}
 
-	/** Lets go of what was said by targets that have not been listed for long. */
-	prune(isListed: (life: TargetIncarnation) => boolean, now: Millis): void {
+	/** Deletes notices of targets that were unlisted for too long, and the oldest ones above the maximum. */
+	prune(isListed: (incarnation: TargetIncarnation) => boolean, now: Millis): void {
 		let unlisted = 0
-		// Latest first: what is beyond the bound is the oldest.
-		for (const [life, notice] of [...this.notices].reverse()) {
-			if (isListed(life)) {
+		// The newest notices come first, so that the oldest ones exceed the limit.
+		for (const [incarnation, notice] of [...this.notices].reverse()) {
+			if (isListed(incarnation)) {
 				notice.unlistedSince = undefined
 				continue
 			}
 			notice.unlistedSince ??= now
 			unlisted++
-			const isOld = now - notice.unlistedSince > UNLISTED_RETENTION_MS
-			if (isOld || unlisted > MAX_UNLISTED_NOTICES) this.notices.delete(life)
+			const isExpired = now - notice.unlistedSince > UNLISTED_RETENTION_MS
+			if (isExpired || unlisted > MAX_UNLISTED_NOTICES) this.notices.delete(incarnation)
 		}
 	}
 
-	private store(life: TargetIncarnation, notice: TargetNotice): TargetNotice {
-		const held: StoredNotice = { ...notice, unlistedSince: undefined }
-		this.notices.delete(life)
-		this.notices.set(life, held)
-		return held
+	private store(incarnation: TargetIncarnation, notice: TargetNotice): TargetNotice {
+		const stored: StoredNotice = { ...notice, unlistedSince: undefined }
+		this.notices.delete(incarnation)
+		this.notices.set(incarnation, stored)
+		return stored
 	}
 }
--- a/packages/core/src/lib/placement/TargetRateLimits.ts
+++ b/packages/core/src/lib/placement/TargetRateLimits.ts
@@ -11,88 +11,88 @@
 import type { TargetEntry } from './TargetEntry.js'
 import type { TargetState } from './TargetState.js'
 
-/** Why a rate holds for a target: it is cold, or it named one in its answers. */
+/** Why a target has a rate limit: it is cold, or it advertises a limit in its responses (`named`). */
 export type RateLimitKind = 'cold' | 'named'
 
-/** What {@link TargetRateLimits} works with. @public */
+/** @public */
 export interface TargetRateLimitsOptions extends FleetRateLimiterOptions {
-	/** What the fleet may send to a cold target. */
+	/** How far the fleet may exceed the rate of a cold target. */
 	readonly coldLimits: ColdLimits
 }
 
 const RATE_LIMIT_KINDS: readonly RateLimitKind[] = ['cold', 'named']
 
-/** The rates that hold for targets, for all boxes together: of cold ones, and those that targets name. */
+/** Enforces the fleet-wide rate limits of targets: those of cold targets and those that targets advertise. */
 export class TargetRateLimits {
 	private readonly limiters: Readonly<Record<RateLimitKind, FleetRateLimiter>>
 
 	constructor(
 		private readonly options: TargetRateLimitsOptions,
-		/** How the targets of a service bear requests after a start; undefined where they bear all at once. */
+		/** Undefined for a service whose targets have no cold phase. */
 		private readonly coldStartOf: (service: ServiceName) => ColdStart | undefined,
 	) {
 		this.limiters = { cold: new FleetRateLimiter(options), named: new FleetRateLimiter(options) }
 	}
 
-	/** True where each rate that holds lets one more request by. Those for which it is counted already are not asked. */
+	/** True if each rate limit of the target, except those in `counted`, allows another request. */
 	allowsRequest(target: TargetState, now: Millis, counted: readonly RateLimitKind[] = []): boolean {
 		return RATE_LIMIT_KINDS.every(
 			(kind) => counted.includes(kind) || this.canSend(kind, target, now),
 		)
 	}
 
-	/** Counts a request that goes to the target now for each rate that holds, once. */
+	/** Counts a request against each rate limit of the target that is not in `counted`, and adds these to `counted`. */
 	countRequest(target: TargetState, now: Millis, counted: RateLimitKind[]): void {
 		for (const kind of RATE_LIMIT_KINDS) {
-			const rate = this.limitOf(kind, target, now)
-			if (!rate || counted.includes(kind)) continue
-			this.limiters[kind].consume(target.entry.name, rate, now)
+			const limit = this.limitOf(kind, target, now)
+			if (!limit || counted.includes(kind)) continue
+			this.limiters[kind].consume(target.entry.name, limit, now)
 			counted.push(kind)
 		}
 	}
 
-	/** A request that was counted did not leave: what it was counted for is free again, once. */
+	/** Reverts the counts of a request that was not sent, and empties `counted`. */
 	refund({ name }: TargetEntry, counted: RateLimitKind[]): void {
 		for (const kind of counted.splice(0)) this.limiters[kind].refund(name)
 	}
 
-	/** When the rate that a target named lets one more request by; -Infinity where it named none. */
+	/** When the advertised limit allows the next request of this box; -Infinity if the target advertises none. */
 	nextSendAt(target: TargetState, now: Millis): Millis {
-		const rate = this.limitOf('named', target, now)
-		if (!rate) return Number.NEGATIVE_INFINITY
-		return this.limiters.named.nextSendAt(target.entry.name, rate, now)
+		const limit = this.limitOf('named', target, now)
+		if (!limit) return Number.NEGATIVE_INFINITY
+		return this.limiters.named.nextSendAt(target.entry.name, limit, now)
 	}
 
-	/** The rate that a target named, for operators; undefined where it named none. */
+	/** The advertised limit with this box's share; undefined if the target advertises none. */
 	statusOf(target: TargetState, now: Millis): RateLimitStatus | undefined {
-		const rate = this.limitOf('named', target, now)
-		const said = target.notice.rate
-		if (!rate || !said) return undefined
+		const limit = this.limitOf('named', target, now)
+		const advertised = target.notice.rate
+		if (!limit || !advertised) return undefined
 		const { name } = target.entry
 		return {
 			target: name,
-			perSecond: said.perSecond,
-			ageMs: now - said.saidAt,
-			share: this.limiters.named.shareOf(name, rate, now),
+			perSecond: advertised.perSecond,
+			ageMs: now - advertised.reportedAt,
+			share: this.limiters.named.shareOf(name, limit, now),
 		}
 	}
 
-	/** The target named no rate any more. */
+	/** Resets the limiter of a target that no longer advertises a limit. */
 	forgetAdvertised({ name }: TargetEntry): void {
 		this.limiters.named.forget(name)
 	}
 
-	/** The target is gone, or started again. */
+	/** Resets the limiters of a target that was removed or restarted. */
 	forget({ name }: TargetEntry): void {
 		for (const kind of RATE_LIMIT_KINDS) this.limiters[kind].forget(name)
 	}
 
 	private canSend(kind: RateLimitKind, target: TargetState, now: Millis): boolean {
-		const rate = this.limitOf(kind, target, now)
-		return !rate || this.limiters[kind].canSend(target.entry.name, rate, now)
+		const limit = this.limitOf(kind, target, now)
+		return !limit || this.limiters[kind].canSend(target.entry.name, limit, now)
 	}
 
-	/** Undefined where none of this kind holds. */
+	/** Undefined if the target has no limit of this kind. */
 	private limitOf(
 		kind: RateLimitKind,
 		target: TargetState,
--- a/packages/core/src/lib/placement/TargetRegistry.test.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.test.ts
@@ -23,205 +23,209 @@
 	}
 }
 
-function boardOf(...entries: TargetEntry[]): TargetRegistry {
-	const board = new TargetRegistry()
-	board.replace(entries, 0)
-	return board
+function registryOf(...entries: TargetEntry[]): TargetRegistry {
+	const registry = new TargetRegistry()
+	registry.replace(entries, 0)
+	return registry
 }
 
-function lives(name: string): ReadonlySet<TargetIncarnation> {
+function incarnations(name: string): ReadonlySet<TargetIncarnation> {
 	return new Set([brandId<TargetIncarnation>(name)])
 }
 
-/** The board of a fleet of one box that spares cold targets. */
-function gatedBoard(): TargetRegistry {
+/** A registry with rate limits for cold targets, in a fleet of one box. */
+function rateLimitedRegistry(): TargetRegistry {
 	const boxes = [BOX]
 	const coldLimits = { overrun: 1.5, tolerance: 5 }
-	const rates = { self: BOX, boxes: () => boxes, isSettled: () => true, coldLimits }
-	const board = new TargetRegistry({ rateLimits: rates })
-	board.setColdStarts(new Map([[SERVICE, COLD_START]]))
-	return board
+	const rateLimits = { self: BOX, boxes: () => boxes, isSettled: () => true, coldLimits }
+	const registry = new TargetRegistry({ rateLimits })
+	registry.setColdStarts(new Map([[SERVICE, COLD_START]]))
+	return registry
 }
 
-describe('TargetBoard', () => {
-	it('gives no new work to targets that leave, are gone, were tried, or are full', () => {
-		const board = boardOf(entry('a'), entry('bb', { leaving: true }), entry('ccc'))
-		board.replace([entry('a'), entry('bb', { leaving: true })], 1)
-		expect(board.choose(query(), 1)?.target.name).toBe('a')
+describe('TargetRegistry', () => {
+	it('does not choose targets that are leaving, removed, already tried or full', () => {
+		const registry = registryOf(entry('a'), entry('bb', { leaving: true }), entry('ccc'))
+		registry.replace([entry('a'), entry('bb', { leaving: true })], 1)
+		expect(registry.choose(query(), 1)?.target.name).toBe('a')
 		const tried = new Set([brandId<TargetIncarnation>('a')])
-		expect(board.choose(query({ tried }), 1)).toBeUndefined()
-		expect(board.choose(query({ isFull: () => true }), 1)).toBeUndefined()
+		expect(registry.choose(query({ tried }), 1)).toBeUndefined()
+		expect(registry.choose(query({ isFull: () => true }), 1)).toBeUndefined()
 	})
 
-	it('goes elsewhere where a target turns requests away, and comes back when that is some time ago', () => {
-		// Without work of its own, the target that turns all away looks cheaper than one that works.
-		const board = boardOf(entry('a'), entry('bb'))
-		const working = Array.from({ length: 4 }, () => board.choose(query({ tried: lives('a') }), 0)!)
-		for (const place of working) board.beginAttempt(place, undefined, 0)
+	it('avoids a target that rejects requests until some time has passed', () => {
+		// A target that rejects everything has no load, so its cost must rise through its failures.
+		const registry = registryOf(entry('a'), entry('bb'))
+		const busyPlacements = Array.from({ length: 4 }, () =>
+			registry.choose(query({ tried: incarnations('a') }), 0)!,
+		)
+		for (const placement of busyPlacements) registry.beginAttempt(placement, undefined, 0)
 		for (let i = 0; i < 3; i++) {
-			const place = board.choose(query(), i)
-			if (place?.target.name !== 'a') break
-			board.beginAttempt(place, undefined, i).end('full', i)
+			const placement = registry.choose(query(), i)
+			if (placement?.target.name !== 'a') break
+			registry.beginAttempt(placement, undefined, i).end('full', i)
 		}
-		expect(board.choose(query(), 10)?.target.name).toBe('bb')
-		expect(board.choose(query(), 60_000)?.target.name).toBe('a')
+		expect(registry.choose(query(), 10)?.target.name).toBe('bb')
+		expect(registry.choose(query(), 60_000)?.target.name).toBe('a')
 	})
 
-	it('tells what joined, leaves and is gone', () => {
-		const board = boardOf(entry('a'), entry('bb'))
-		const changes = board.replace([entry('a', { leaving: true }), entry('ccc')], 1)
+	it('returns which targets were added, are leaving and were removed', () => {
+		const registry = registryOf(entry('a'), entry('bb'))
+		const changes = registry.replace([entry('a', { leaving: true }), entry('ccc')], 1)
 		expect(changes.added.map((target) => target.name)).toEqual(['ccc'])
 		expect(changes.leaving.map((target) => target.name)).toEqual(['a'])
 		expect(changes.removed.map((target) => target.name)).toEqual(['bb'])
 	})
 
-	it('sends prompts of one session to one target, on every box alike', () => {
+	it('chooses the same target for all prompts of a session, on every box', () => {
 		const entries = ['a', 'bb', 'ccc', 'dddd'].map((name) => entry(name))
 		for (let session = 0; session < 20; session++) {
-			const places = [1, 2, 3].map((box) =>
-				boardOf(...entries).choose(query({ work: prompt(`s${session}`, `own-${box}`) }), 0),
+			const placements = [1, 2, 3].map((box) =>
+				registryOf(...entries).choose(query({ work: prompt(`s${session}`, `own-${box}`) }), 0),
 			)
-			expect(new Set(places.map((place) => place?.target.name)).size).toBe(1)
+			expect(new Set(placements.map((placement) => placement?.target.name)).size).toBe(1)
 		}
 	})
 
-	it('leaves the home of a prompt when much is to be read there first', () => {
-		const board = boardOf(entry('a'), entry('bb'))
+	it('avoids the affinity target of a prompt while it has much pending prefill work', () => {
+		const registry = registryOf(entry('a'), entry('bb'))
 		const work = prompt('session', 'own')
-		const home = board.choose(query({ work }), 0)
-		const busy = [{ life: incarnationOf(home!.target), unreadTokens: 90_000, open: 10 }]
-		board.notePeerWork(brandId<BoxName>('other'), busy, 0)
-		expect(board.choose(query({ work }), 1)?.target.name).not.toBe(home?.target.name)
-		expect(board.choose(query({ work }), 5_000)?.target.name).toBe(home?.target.name)
+		const affinityTarget = registry.choose(query({ work }), 0)
+		const reportedWork = [
+			{ life: incarnationOf(affinityTarget!.target), unreadTokens: 90_000, open: 10 },
+		]
+		registry.notePeerWork(brandId<BoxName>('other'), reportedWork, 0)
+		expect(registry.choose(query({ work }), 1)?.target.name).not.toBe(affinityTarget?.target.name)
+		expect(registry.choose(query({ work }), 5_000)?.target.name).toBe(affinityTarget?.target.name)
 	})
 
-	it('leaves a target alone that can not be reached, and tries it again later', () => {
-		const board = boardOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
-		const place = board.choose(query(), 0)
-		expect(place?.target.name).toBe('a')
-		board.beginAttempt(place!, undefined, 0).end('unreachable', 0)
-		expect(board.choose(query(), 1)?.target.name).toBe('bb')
-		expect(board.choose(query(), 60_000)?.target.name).toBe('a')
+	it('ejects an unreachable target and tries it again later', () => {
+		const registry = registryOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
+		const placement = registry.choose(query(), 0)
+		expect(placement?.target.name).toBe('a')
+		registry.beginAttempt(placement!, undefined, 0).end('unreachable', 0)
+		expect(registry.choose(query(), 1)?.target.name).toBe('bb')
+		expect(registry.choose(query(), 60_000)?.target.name).toBe('a')
 	})
 
-	it('keeps a request out of zones that it may not run in', () => {
-		const board = boardOf(entry('a'), entry('bb', { zone: OTHER_ZONE }))
+	it('chooses only targets in zones where the request may run', () => {
+		const registry = registryOf(entry('a'), entry('bb', { zone: OTHER_ZONE }))
 		const mayRunIn = (zone: ZoneName): boolean => zone === OTHER_ZONE
-		expect(board.choose(query({ mayRunIn }), 0)?.target.name).toBe('bb')
-		expect(board.choose(query({ mayRunIn: () => false }), 0)).toBeUndefined()
+		expect(registry.choose(query({ mayRunIn }), 0)?.target.name).toBe('bb')
+		expect(registry.choose(query({ mayRunIn: () => false }), 0)).toBeUndefined()
 	})
 
-	it('prefers a target that it holds a connection to, where nothing else speaks against it', () => {
-		const board = boardOf(entry('a'), entry('bb'))
-		const isConnected = (target: TargetName): boolean => target === 'bb'
-		expect(board.choose(query({ hasIdleConnection: isConnected }), 0)?.target.name).toBe('bb')
-		const busy = [{ life: brandId<TargetIncarnation>('bb'), unreadTokens: 0, open: 8 }]
-		board.notePeerWork(brandId<BoxName>('other'), busy, 0)
-		expect(board.choose(query({ hasIdleConnection: isConnected }), 1)?.target.name).toBe('a')
+	it('prefers a target with an idle connection if other costs are equal', () => {
+		const registry = registryOf(entry('a'), entry('bb'))
+		const hasIdleConnection = (target: TargetName): boolean => target === 'bb'
+		expect(registry.choose(query({ hasIdleConnection }), 0)?.target.name).toBe('bb')
+		const reportedWork = [{ life: brandId<TargetIncarnation>('bb'), unreadTokens: 0, open: 8 }]
+		registry.notePeerWork(brandId<BoxName>('other'), reportedWork, 0)
+		expect(registry.choose(query({ hasIdleConnection }), 1)?.target.name).toBe('a')
 	})
 
-	it('turns away from a target that stays silent', () => {
-		const board = boardOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
-		const place = board.choose(query(), 0)
-		const attempt = board.beginAttempt(place!, undefined, 0)
-		expect(board.choose(query(), 5_000)?.target.name).toBe('bb')
+	it('avoids a target whose response is overdue', () => {
+		const registry = registryOf(entry('a'), entry('bb', { zone: brandId<ZoneName>('z2') }))
+		const placement = registry.choose(query(), 0)
+		const attempt = registry.beginAttempt(placement!, undefined, 0)
+		expect(registry.choose(query(), 5_000)?.target.name).toBe('bb')
 		attempt.noteByte(5_000)
 		attempt.end('good', 5_000)
-		expect(board.choose(query(), 5_001)?.target.name).toBe('bb')
-		expect(board.choose(query(), 5_001)).toBeDefined()
+		expect(registry.choose(query(), 5_001)?.target.name).toBe('bb')
+		expect(registry.choose(query(), 5_001)).toBeDefined()
 	})
 
-	it('counts failures against a target only beyond those of its fellows', () => {
-		const board = boardOf(entry('a'), entry('bb'))
+	it('counts only failures above the lowest failure rate of the service', () => {
+		const registry = registryOf(entry('a'), entry('bb'))
 		for (let i = 0; i < 10; i++) {
 			for (const name of ['a', 'bb']) {
 				const tried = new Set([brandId<TargetIncarnation>(name === 'a' ? 'bb' : 'a')])
-				board.beginAttempt(board.choose(query({ tried }), i)!, undefined, i).end('failed', i)
+				registry.beginAttempt(registry.choose(query({ tried }), i)!, undefined, i).end('failed', i)
 			}
 		}
-		const even = board.choose(query(), 10)!
-		expect(even.cost.ms).toBeLessThan(100)
+		const placement = registry.choose(query(), 10)!
+		expect(placement.cost.ms).toBeLessThan(100)
 	})
 
-	it('sums the work of the boxes that are asked for, while their word is fresh', () => {
-		const board = new TargetRegistry()
-		board.replace([entry('a')], 0)
+	it('sums recent work reports of the selected boxes', () => {
+		const registry = new TargetRegistry()
+		registry.replace([entry('a')], 0)
 		const row = (open: number) => [
 			{ life: brandId<TargetIncarnation>('a'), unreadTokens: 100 * open, open },
 		]
-		board.notePeerWork(brandId<BoxName>('box-1'), row(1), 0)
-		board.notePeerWork(brandId<BoxName>('box-2'), row(2), 0)
-		expect(board.openWork(() => true, 10)).toEqual(row(3))
-		expect(board.openWork((box) => box === 'box-2', 10)).toEqual(row(2))
-		expect(board.openWork(() => true, 5_000)).toEqual([])
+		registry.notePeerWork(brandId<BoxName>('box-1'), row(1), 0)
+		registry.notePeerWork(brandId<BoxName>('box-2'), row(2), 0)
+		expect(registry.openWork(() => true, 10)).toEqual(row(3))
+		expect(registry.openWork((box) => box === 'box-2', 10)).toEqual(row(2))
+		expect(registry.openWork(() => true, 5_000)).toEqual([])
 	})
 
-	it('sends nothing into a cordoned zone, and says why a service is closed', () => {
-		const board = boardOf(entry('a'), entry('bb', { zone: OTHER_ZONE }))
-		board.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 10)
-		expect(board.choose(query(), 10)?.target.name).toBe('bb')
-		expect(board.closedCause(SERVICE, 10)).toBeUndefined()
-		board.replaceCordons(
+	it('does not choose targets in cordoned zones, and reports why a service is closed', () => {
+		const registry = registryOf(entry('a'), entry('bb', { zone: OTHER_ZONE }))
+		registry.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 10)
+		expect(registry.choose(query(), 10)?.target.name).toBe('bb')
+		expect(registry.closedCause(SERVICE, 10)).toBeUndefined()
+		registry.replaceCordons(
 			[
 				{ zone: ZONE, revision: { era: 1, number: 2 } },
 				{ zone: OTHER_ZONE, revision: { era: 1, number: 3 } },
 			],
 			20,
 		)
-		expect(board.choose(query(), 20)).toBeUndefined()
-		expect(board.closedCause(SERVICE, 20)).toEqual({ cause: 'cordoned', opensInMs: undefined })
-		expect(board.cordonAgeMs(ZONE, 30)).toBe(20)
-		board.replaceCordons([], 40)
-		expect(board.closedCause(SERVICE, 40)).toBeUndefined()
+		expect(registry.choose(query(), 20)).toBeUndefined()
+		expect(registry.closedCause(SERVICE, 20)).toEqual({ cause: 'cordoned', opensInMs: undefined })
+		expect(registry.cordonAgeMs(ZONE, 30)).toBe(20)
+		registry.replaceCordons([], 40)
+		expect(registry.closedCause(SERVICE, 40)).toBeUndefined()
 	})
 
-	it('holds a chosen request back whose target was cordoned, left or went before it was sent', () => {
-		const board = boardOf(entry('a'))
-		const attempt = board.beginAttempt(board.choose(query(), 0)!, undefined, 0)
+	it('does not send a request if its target was cordoned, is leaving or was removed since the choice', () => {
+		const registry = registryOf(entry('a'))
+		const attempt = registry.beginAttempt(registry.choose(query(), 0)!, undefined, 0)
 		expect(attempt.maySend(1)).toBe(true)
-		board.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 2)
+		registry.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 2)
 		expect(attempt.maySend(3)).toBe(false)
-		board.replaceCordons([], 4)
-		board.replace([entry('a', { leaving: true, revision: { era: 1, number: 5 } })], 5)
+		registry.replaceCordons([], 4)
+		registry.replace([entry('a', { leaving: true, revision: { era: 1, number: 5 } })], 5)
 		expect(attempt.maySend(6)).toBe(false)
-		board.replace([], 7)
+		registry.replace([], 7)
 		expect(attempt.maySend(8)).toBe(false)
 	})
 
-	it('takes targets of a zone that was given back as cold, whatever their entries said before', () => {
-		const board = gatedBoard()
-		board.replace([entry('a')], 0)
-		expect(sentAtOnce(board, 0)).toBe(50)
-		board.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 10)
-		board.replaceCordons([], 20)
-		expect(sentAtOnce(board, 20)).toBeLessThan(6)
-		expect(board.coldCount(20)).toBe(1)
-		expect(sentAtOnce(board, 20 + COLD_START.ms)).toBe(50)
+	it('treats targets as cold after the cordon of their zone was lifted, regardless of their entries', () => {
+		const registry = rateLimitedRegistry()
+		registry.replace([entry('a')], 0)
+		expect(sentAtOnce(registry, 0)).toBe(50)
+		registry.replaceCordons([{ zone: ZONE, revision: { era: 1, number: 2 } }], 10)
+		registry.replaceCordons([], 20)
+		expect(sentAtOnce(registry, 20)).toBeLessThan(6)
+		expect(registry.coldCount(20)).toBe(1)
+		expect(sentAtOnce(registry, 20 + COLD_START.ms)).toBe(50)
 	})
 
-	it('spares a target that turns cold at any moment, from the word in its entry or its answer', () => {
-		const board = gatedBoard()
-		board.replace([entry('a')], 0)
-		board.replace([entry('a', { coldMs: 2_000, revision: { era: 1, number: 2 } })], 1_000)
-		expect(sentAtOnce(board, 1_000)).toBeLessThan(6)
-		expect(board.closedCause(SERVICE, 1_000)).toEqual({ cause: 'cold', opensInMs: 2_000 })
-		board.replace([entry('a', { revision: { era: 1, number: 3 } })], 2_000)
-		expect(sentAtOnce(board, 2_000)).toBe(50)
-		board.beginAttempt(board.choose(query(), 2_000)!, undefined, 2_000).noteCold(500, 2_100)
-		expect(sentAtOnce(board, 2_100)).toBeLessThan(6)
-		expect(sentAtOnce(board, 2_600)).toBe(50)
+	it('limits the requests to a target that an entry or a response reports as cold', () => {
+		const registry = rateLimitedRegistry()
+		registry.replace([entry('a')], 0)
+		registry.replace([entry('a', { coldMs: 2_000, revision: { era: 1, number: 2 } })], 1_000)
+		expect(sentAtOnce(registry, 1_000)).toBeLessThan(6)
+		expect(registry.closedCause(SERVICE, 1_000)).toEqual({ cause: 'cold', opensInMs: 2_000 })
+		registry.replace([entry('a', { revision: { era: 1, number: 3 } })], 2_000)
+		expect(sentAtOnce(registry, 2_000)).toBe(50)
+		registry.beginAttempt(registry.choose(query(), 2_000)!, undefined, 2_000).noteCold(500, 2_100)
+		expect(sentAtOnce(registry, 2_100)).toBeLessThan(6)
+		expect(sentAtOnce(registry, 2_600)).toBe(50)
 	})
 
-	it('does not take an entry that it knows already for a new word on warmth', () => {
-		const board = gatedBoard()
+	it('does not extend the cold phase when the same entry is read again', () => {
+		const registry = rateLimitedRegistry()
 		const cold = entry('a', { coldMs: 2_000 })
-		board.replace([cold], 0)
-		for (const now of [500, 1_000, 1_500]) board.replace([cold], now)
-		expect(board.coldCount(1_999)).toBe(1)
-		expect(board.coldCount(2_001)).toBe(0)
+		registry.replace([cold], 0)
+		for (const now of [500, 1_000, 1_500]) registry.replace([cold], now)
+		expect(registry.coldCount(1_999)).toBe(1)
+		expect(registry.coldCount(2_001)).toBe(0)
 	})
 
-	describe('a target that starts again under its name', () => {
+	describe('a target that restarts under the same name', () => {
 		const first = entry('a', { bornAt: 1_000, revision: { era: 1, number: 5 } })
 		const second = entry('a', {
 			bornAt: 9_000,
@@ -230,66 +234,66 @@
 			zone: OTHER_ZONE,
 		})
 
-		it('is told as a life that is over and one that has begun', () => {
-			const board = boardOf(first)
-			const changes = board.replace([second], 10)
+		it('is reported as restarted and added', () => {
+			const registry = registryOf(first)
+			const changes = registry.replace([second], 10)
 			expect(changes.restarted).toEqual([first])
 			expect(changes.added).toEqual([second])
 			expect(changes.removed).toEqual([])
-			expect(board.choose(query(), 10)?.target.address).toBe('10.0.0.9:9')
+			expect(registry.choose(query(), 10)?.target.address).toBe('10.0.0.9:9')
 		})
 
-		it('keeps nothing of before: prompts, work, load, failures, the word of other boxes, leaving', () => {
+		it('starts with no prefix cache, work, load, failures, peer work or leaving notice', () => {
 			const work = prompt('session', 'own')
-			const board = boardOf(first)
-			const before = board.choose(query({ work }), 0)!
-			board.beginAttempt(before, work, 0)
-			board.beginAttempt(before, undefined, 0).end('unreachable', 0)
-			board.beginAttempt(before, undefined, 0).noteLoad({ running: 8, waiting: 90, slots: 8 }, 0)
-			const told = [{ life: incarnationOf(first), unreadTokens: 90_000, open: 30 }]
-			board.notePeerWork(BOX, told, 0)
-			board.replace([{ ...first, leaving: true, revision: { era: 1, number: 6 } }], 1)
-			board.replace([second], 2)
-			// A late word of another box on the earlier life.
-			board.notePeerWork(BOX, told, 2)
-			const fresh = boardOf(second).choose(query({ work }), 2)
-			expect(board.choose(query({ work }), 2)).toEqual(fresh)
-			expect(board.openWork(() => true, 2)).toEqual([])
+			const registry = registryOf(first)
+			const before = registry.choose(query({ work }), 0)!
+			registry.beginAttempt(before, work, 0)
+			registry.beginAttempt(before, undefined, 0).end('unreachable', 0)
+			registry.beginAttempt(before, undefined, 0).noteLoad({ running: 8, waiting: 90, slots: 8 }, 0)
+			const rows = [{ life: incarnationOf(first), unreadTokens: 90_000, open: 30 }]
+			registry.notePeerWork(BOX, rows, 0)
+			registry.replace([{ ...first, leaving: true, revision: { era: 1, number: 6 } }], 1)
+			registry.replace([second], 2)
+			// A late work report of another box for the previous incarnation.
+			registry.notePeerWork(BOX, rows, 2)
+			const fresh = registryOf(second).choose(query({ work }), 2)
+			expect(registry.choose(query({ work }), 2)).toEqual(fresh)
+			expect(registry.openWork(() => true, 2)).toEqual([])
 		})
 
-		it('may be asked again by a request that its earlier life failed', () => {
-			const board = boardOf(first)
+		it('can be chosen for a request that its previous incarnation failed', () => {
+			const registry = registryOf(first)
 			const tried = new Set([incarnationOf(first)])
-			expect(board.choose(query({ tried }), 0)).toBeUndefined()
-			board.replace([second], 1)
-			expect(board.choose(query({ tried }), 1)?.target.bornAt).toBe(9_000)
+			expect(registry.choose(query({ tried }), 0)).toBeUndefined()
+			registry.replace([second], 1)
+			expect(registry.choose(query({ tried }), 1)?.target.bornAt).toBe(9_000)
 		})
 
-		it('gets no request that was meant for its earlier life', () => {
-			const board = boardOf(first)
-			const handle = board.beginAttempt(board.choose(query(), 0)!, undefined, 0)
+		it('receives no request that was chosen for its previous incarnation', () => {
+			const registry = registryOf(first)
+			const handle = registry.beginAttempt(registry.choose(query(), 0)!, undefined, 0)
 			expect(handle.maySend(1)).toBe(true)
-			board.replace([second], 2)
+			registry.replace([second], 2)
 			expect(handle.maySend(3)).toBe(false)
 			handle.end('failed', 4)
-			expect(board.choose(query(), 5)?.cost).toEqual(boardOf(second).choose(query(), 5)?.cost)
+			expect(registry.choose(query(), 5)?.cost).toEqual(registryOf(second).choose(query(), 5)?.cost)
 		})
 
-		it('is not replaced by a late word of its earlier life, whatever revision that carries', () => {
-			const board = boardOf(second)
+		it('is not replaced by an entry of its previous incarnation, even with a newer revision', () => {
+			const registry = registryOf(second)
 			const late = { ...first, leaving: true, revision: { era: 1, number: 99 } }
-			expect(board.replace([late], 1)).toEqual({
-				joined: [],
+			expect(registry.replace([late], 1)).toEqual({
+				added: [],
 				leaving: [],
-				gone: [],
+				removed: [],
 				restarted: [],
 			})
-			expect(board.choose(query(), 1)?.target).toEqual(second)
+			expect(registry.choose(query(), 1)?.target).toEqual(second)
 		})
 
-		it('is one target as before where nothing tells its start', () => {
-			const board = boardOf(entry('a'))
-			const changes = board.replace(
+		it('is not treated as restarted if its entries have no start time', () => {
+			const registry = registryOf(entry('a'))
+			const changes = registry.replace(
 				[entry('a', { revision: { era: 1, number: 2 }, leaving: true })],
 				1,
 			)
@@ -299,12 +303,12 @@
 	})
 })
 
-/** Requests that the board would send one after the other at one moment; 50 at most. */
-function sentAtOnce(board: TargetRegistry, now: number): number {
+/** Number of requests, up to 50, that the registry allows at the same time. */
+function sentAtOnce(registry: TargetRegistry, now: number): number {
 	for (let sent = 0; sent < 50; sent++) {
-		const place = board.choose(query(), now)
-		if (!place) return sent
-		board.beginAttempt(place, undefined, now)
+		const placement = registry.choose(query(), now)
+		if (!placement) return sent
+		registry.beginAttempt(placement, undefined, now)
 	}
 	return 50
 }
--- a/packages/core/src/lib/placement/TargetRegistry.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.ts
@@ -31,10 +31,10 @@
 import type { TargetWork } from './TargetWork.js'
 import type { CordonChanges, ZoneCordon } from './ZoneCordons.js'
 
-/** Times are compared only up to here: a long prompt tells more about a target than a short one. */
+/** Lower bound for expected times in slowdown measurements: very short times say little about a target. */
 const MIN_EXPECTED_MS = 10
 
-/** What this box believes about all targets, and the choice among them. @public */
+/** The state of all targets as this box knows it; chooses the target of each request. @public */
 export class TargetRegistry {
 	private readonly targets = new Map<TargetName, TargetState>()
 	private readonly byService = new Map<ServiceName, TargetState[]>()
@@ -42,42 +42,39 @@
 	private readonly admission: TargetAdmission
 	private readonly notices = new TargetNotices()
 
-	/** Without rates, cold targets are dearer than others and take as much. */
+	/** Without rate limits, cold targets only cost more and receive requests without limit. */
 	constructor(options: AdmissionOptions = {}) {
 		this.admission = new TargetAdmission(options)
 	}
 
-	/** Takes how the targets of each service bear requests after a start; others bear all at once. */
+	/** Sets the cold-start behaviour of each service. Targets of other services have no cold phase. */
 	setColdStarts(coldStarts: ReadonlyMap<ServiceName, ColdStart>): void {
 		this.admission.setColdStarts(coldStarts)
 	}
 
-	/** Takes the newest list of cordoned zones, whole. */
+	/** Replaces the complete list of cordoned zones. */
 	replaceCordons(cordons: readonly ZoneCordon[], now: Millis): CordonChanges {
 		return this.admission.replaceCordons(cordons, this.targets.values(), now)
 	}
 
-	/** The zones that take no new work. */
 	get cordonedZones(): readonly ZoneName[] {
 		return this.admission.cordonedZones
 	}
 
-	/** Time since this box learned of the cordon of a zone, in ms; undefined where there is none. */
+	/** Time since this box received the cordon of a zone, in ms; undefined if the zone has none. */
 	cordonAgeMs(zone: ZoneName, now: Millis): Millis | undefined {
 		return this.admission.cordonAgeMs(zone, now)
 	}
 
-	/** True where a target lies in the zone. */
 	hasTargetIn(zone: ZoneName): boolean {
 		return [...this.targets.values()].some((state) => state.entry.zone === zone)
 	}
 
-	/** Targets that are cold. */
 	coldCount(now: Millis): number {
 		return [...this.targets.values()].filter((state) => state.coldUntil > now).length
 	}
 
-	/** Why no target of the service, in zones where the request may run, takes new work; undefined where one does. */
+	/** Why no target of the service in an allowed zone accepts requests; undefined if one does. */
 	closedCause(
 		service: ServiceName,
 		now: Millis,
@@ -87,17 +84,17 @@
 		return this.admission.closedCause(listed, now, mayRunIn)
 	}
 
-	/** Rates that targets of the service named and that keep requests of this box away now, some of them at most. */
+	/** Advertised rate limits of the service that currently block requests of this box, up to a maximum number. */
 	exhaustedRateLimits(service: ServiceName, now: Millis): readonly RateLimitStatus[] {
 		return this.admission.exhaustedRateLimits(this.byService.get(service) ?? [], now)
 	}
 
 	/**
-	 * Takes the newest list. Targets that are not in it get no new work. The time of day tells which life of a target
-	 * that started again said what was heard shortly before; without it, the earlier one.
+	 * Replaces the complete target list. Targets missing from it receive no new requests. For a restarted target,
+	 * `wallTime` decides which of the recent notices came from the new incarnation; without it, none did.
 	 */
 	replace(entries: readonly TargetEntry[], now: Millis, wallTime?: Millis): TargetChanges {
-		const joined: TargetEntry[] = []
+		const added: TargetEntry[] = []
 		const leaving: TargetEntry[] = []
 		const restarted: TargetEntry[] = []
 		const listed = new Set<TargetName>()
@@ -115,30 +112,32 @@
 			if (!known || isRestart) {
 				const notice = this.notices.of(incarnationOf(entry))
 				this.targets.set(entry.name, new TargetState(entry, now, notice))
-				joined.push(entry)
+				added.push(entry)
 				continue
 			}
 			if (entry.leaving && !known.entry.leaving) leaving.push(entry)
 			known.noteEntry(entry, now)
 		}
-		const gone = [...this.targets.values()].filter((state) => !listed.has(state.entry.name))
-		for (const { entry } of gone) {
+		const removed = [...this.targets.values()].filter((state) => !listed.has(state.entry.name))
+		for (const { entry } of removed) {
 			this.targets.delete(entry.name)
 			this.admission.forget(entry)
 		}
 		this.groupByService()
 		this.pruneNotices(now)
-		const goneEntries = gone.map((state) => ({ ...state.entry, leaving: state.leaving }))
-		return { added: joined, leaving, removed: goneEntries, restarted }
+		const removedEntries = removed.map((state) => ({ ...state.entry, leaving: state.leaving }))
+		return { added, leaving, removed: removedEntries, restarted }
 	}
 
 	private pruneNotices(now: Millis): void {
 		if (this.notices.isEmpty) return
-		const lives = new Set([...this.targets.values()].map(({ entry }) => incarnationOf(entry)))
-		this.notices.prune((life) => lives.has(life), now)
+		const incarnations = new Set(
+			[...this.targets.values()].map(({ entry }) => incarnationOf(entry)),
+		)
+		this.notices.prune((incarnation) => incarnations.has(incarnation), now)
 	}
 
-	/** Targets that get less work, or none, because of what they said of themselves. */
+	/** Targets that receive fewer or no requests because of their own notices. */
 	noticeStatuses(now: Millis): TargetNoticeStatus[] {
 		return [...this.targets.values()].flatMap((state) => {
 			return targetNoticeStatusOf(state, this.admission.rateLimitStatus(state, now), now) ?? []
@@ -149,10 +148,7 @@
 		return this.targets.size
 	}
 
-	/**
-	 * Work under way by target: that of this box, and what it lately heard of the other boxes that are
-	 * asked for.
-	 */
+	/** Work in flight for each target: that of this box and the recent reports of the boxes selected by `includes`. */
 	openWork(includes: (box: BoxName) => boolean, now: Millis): TargetWork[] {
 		const rows: TargetWork[] = []
 		for (const state of this.targets.values()) {
@@ -170,11 +166,11 @@
 		return rows
 	}
 
-	/** Another box told its work: all of it, so that a target left out has none. */
+	/** Records the complete work report of another box: targets missing from it have no work of that box. */
 	notePeerWork(box: BoxName, rows: readonly TargetWork[], now: Millis): void {
-		const told = new Map(rows.map((row) => [row.life, row]))
+		const rowsByIncarnation = new Map(rows.map((row) => [row.life, row]))
 		for (const state of this.targets.values()) {
-			const row = told.get(incarnationOf(state.entry))
+			const row = rowsByIncarnation.get(incarnationOf(state.entry))
 			if (row)
 				state.peerWork.set(box, {
 					prefillTokens: row.unreadTokens,
@@ -185,18 +181,18 @@
 		}
 	}
 
-	/** True where this life of the target is listed and does not leave. */
-	isAvailable(life: TargetIncarnation, target: TargetName): boolean {
+	/** True if this incarnation of the target is listed and not leaving. */
+	isAvailable(incarnation: TargetIncarnation, target: TargetName): boolean {
 		const state = this.targets.get(target)
-		return state !== undefined && !state.leaving && incarnationOf(state.entry) === life
+		return state !== undefined && !state.leaving && incarnationOf(state.entry) === incarnation
 	}
 
-	/** True where the list calls this life of the target ready, whatever it says itself. */
+	/** True if the list shows this incarnation as not leaving, regardless of the target's own notices. */
 	isListedAsReady(target: TargetIdentity): boolean {
 		return this.stateOf(target)?.entry.leaving === false
 	}
 
-	/** What is believed of this life of a target, where it is the one that is listed. */
+	/** The state of a target; undefined unless this incarnation is the listed one. */
 	private stateOf(target: TargetIdentity): TargetState | undefined {
 		const state = this.targets.get(target.name)
 		return state && incarnationOf(state.entry) === incarnationOf(target) ? state : undefined
@@ -206,7 +202,7 @@
 		return this.targets.get(target)?.entry.service
 	}
 
-	/** The cheapest place that takes new work, or undefined. */
+	/** Chooses the target with the lowest cost; undefined if none accepts the request. */
 	choose(query: PlacementQuery, now: Millis): Placement | undefined {
 		const listed = this.byService.get(query.service) ?? []
 		const candidates = this.candidates(listed, query, now)
@@ -225,49 +221,49 @@
 		}
 	}
 
-	/** Targets that take new work; those that could not be reached lately only where there is no other. */
+	/** Targets that accept the request. Ejected targets are included only if there are no others. */
 	private candidates(
 		listed: readonly TargetState[],
 		query: PlacementQuery,
 		now: Millis,
 	): readonly TargetState[] {
-		const sound: TargetState[] = []
+		const healthy: TargetState[] = []
 		const ejected: TargetState[] = []
 		for (const state of listed) {
 			if (!this.isOpen(state, query, now)) continue
-			if (state.ejectedUntil <= now) sound.push(state)
+			if (state.ejectedUntil <= now) healthy.push(state)
 			else ejected.push(state)
 		}
-		return sound.length > 0 ? sound : ejected
+		return healthy.length > 0 ? healthy : ejected
 	}
 
-	/** A request goes to this place now. */
-	beginAttempt(place: Placement, work: DeclaredWork | undefined, now: Millis): AttemptHandle {
-		const state = this.targets.get(place.target.name)
-		const counted: RateLimitKind[] = []
-		if (state) this.admission.countRequest(state, now, counted)
+	/** Starts an attempt at the chosen target. */
+	beginAttempt(placement: Placement, work: DeclaredWork | undefined, now: Millis): AttemptHandle {
+		const state = this.targets.get(placement.target.name)
+		const countedLimits: RateLimitKind[] = []
+		if (state) this.admission.countRequest(state, now, countedLimits)
 		const attempt: OpenAttempt = {
 			sentAt: now,
-			expectedMs: place.cost.expectedMs,
-			prefillTokens: place.cost.prefillTokens,
-			countedLimits: counted,
+			expectedMs: placement.cost.expectedMs,
+			prefillTokens: placement.cost.prefillTokens,
+			countedLimits,
 			hasFirstByte: false,
 		}
 		state?.openAttempts.add(attempt)
 		if (work) state?.prefixCache.record(promptPrefixKeys(work.parts))
-		return this.createHandle(place, attempt, state)
+		return this.createHandle(placement, attempt, state)
 	}
 
 	private createHandle(
-		place: Placement,
+		placement: Placement,
 		attempt: OpenAttempt,
 		state: TargetState | undefined,
 	): AttemptHandle {
-		const service = place.target.service
+		const service = placement.target.service
 		return {
-			target: place.target.name,
+			target: placement.target.name,
 			expectedMs: attempt.expectedMs,
-			maySend: (now) => this.maySend(place.target, attempt, now),
+			maySend: (now) => this.maySend(placement.target, attempt, now),
 			noteByte: (now) => {
 				if (!state) return
 				state.lastByteAt = now
@@ -277,27 +273,28 @@
 			},
 			noteLoad: (load, now) => state?.noteLoad(load, now),
 			noteCold: (coldMs, now) => state?.noteCold(coldMs, now),
-			noteLeaving: (now) => this.noteLeaving(place.target, now),
-			noteBackoff: (ms, now) => this.noteBackoff(place.target, ms, now),
-			noteRate: (perSecond, now) => this.noteResponseRate(place.target, attempt, perSecond, now),
-			noteUnreadableRate: (text) => this.noteUnreadableRate(place.target, text),
+			noteLeaving: (now) => this.noteLeaving(placement.target, now),
+			noteBackoff: (ms, now) => this.noteBackoff(placement.target, ms, now),
+			noteRate: (perSecond, now) =>
+				this.noteResponseRate(placement.target, attempt, perSecond, now),
+			noteUnreadableRate: (text) => this.noteUnreadableRate(placement.target, text),
 			noteUnsent: () => {
-				if (state && this.stateOf(place.target) === state)
+				if (state && this.stateOf(placement.target) === state)
 					this.admission.refund(state, attempt.countedLimits)
 			},
-			end: (verdict, now) => {
+			end: (outcome, now) => {
 				if (!state?.openAttempts.delete(attempt)) return
-				state.noteOutcome(verdict, now)
+				state.noteOutcome(outcome, now)
 			},
 		}
 	}
 
-	/** This life of a target leaves, by its own word or that of another box. True where this is news. */
+	/** Records that a target announced to this or another box that it is leaving. True if this was not known yet. */
 	noteLeaving(target: TargetIdentity, now: Millis): boolean {
-		const life = incarnationOf(target)
-		const isNews = this.notices.of(life).leavingSince === undefined
-		this.applyNotice(target, this.notices.noteLeaving(life, now))
-		return isNews
+		const incarnation = incarnationOf(target)
+		const isNew = this.notices.of(incarnation).leavingSince === undefined
+		this.applyNotice(target, this.notices.noteLeaving(incarnation, now))
+		return isNew
 	}
 
 	private noteBackoff(target: TargetEntry, ms: Millis, now: Millis): Millis {
@@ -307,13 +304,13 @@
 	}
 
 	/**
-	 * An answer of this life names so many requests a second for all boxes together, or no rate any more, at a time of
-	 * this box's clock. True where the rate is another than was known.
+	 * Records the rate limit, in requests per second for all boxes together, that a target advertised at `reportedAt` of
+	 * this box's clock; undefined if it advertised none. True if the limit changed.
 	 */
-	noteRate(target: TargetIdentity, perSecond: number | undefined, saidAt: Millis): boolean {
-		const life = incarnationOf(target)
-		const before = this.notices.of(life)
-		const notice = this.notices.noteRate(life, perSecond, saidAt)
+	noteRate(target: TargetIdentity, perSecond: number | undefined, reportedAt: Millis): boolean {
+		const incarnation = incarnationOf(target)
+		const before = this.notices.of(incarnation)
+		const notice = this.notices.noteRate(incarnation, perSecond, reportedAt)
 		if (notice === before) return false
 		this.applyNotice(target, notice)
 		const state = this.stateOf(target)
@@ -322,8 +319,8 @@
 	}
 
 	/**
-	 * The same, in the answer to a request. One without a rate may have been made before the newest word that names one,
-	 * and come late, unless its request left after that word: taken for the end, it would open the target to all boxes.
+	 * Records the rate limit advertised in the response to an attempt. A response without one ends the known limit only
+	 * if its request was sent after the limit was reported: otherwise the response may be older than the limit.
 	 */
 	private noteResponseRate(
 		target: TargetEntry,
@@ -331,20 +328,21 @@
 		perSecond: number | undefined,
 		now: Millis,
 	): boolean {
-		const namedAt = this.notices.of(incarnationOf(target)).rate?.saidAt ?? Number.NEGATIVE_INFINITY
-		if (perSecond === undefined && attempt.sentAt <= namedAt) return false
+		const advertisedAt =
+			this.notices.of(incarnationOf(target)).rate?.reportedAt ?? Number.NEGATIVE_INFINITY
+		if (perSecond === undefined && attempt.sentAt <= advertisedAt) return false
 		return this.noteRate(target, perSecond, now)
 	}
 
 	private noteUnreadableRate(target: TargetIdentity, text: string): boolean {
-		const life = incarnationOf(target)
-		const before = this.notices.of(life)
-		const notice = this.notices.noteUnreadableRate(life, text)
+		const incarnation = incarnationOf(target)
+		const before = this.notices.of(incarnation)
+		const notice = this.notices.noteUnreadableRate(incarnation, text)
 		this.applyNotice(target, notice)
 		return notice !== before
 	}
 
-	/** Takes what a life said, where it is the one that is listed. */
+	/** Applies a notice if it belongs to the listed incarnation. */
 	private applyNotice(target: TargetIdentity, notice: TargetNotice): void {
 		const state = this.stateOf(target)
 		if (state) state.notice = notice
@@ -356,9 +354,9 @@
 		state: TargetState,
 		now: Millis,
 	): void {
-		const took = now - attempt.sentAt
-		state.noteLatency(Math.max(MIN_EXPECTED_MS, attempt.expectedMs), took)
-		if (attempt.prefillTokens <= 0) this.plainLatencies.record(service, took)
+		const tookMs = now - attempt.sentAt
+		state.noteLatency(Math.max(MIN_EXPECTED_MS, attempt.expectedMs), tookMs)
+		if (attempt.prefillTokens <= 0) this.plainLatencies.record(service, tookMs)
 	}
 
 	private placementRequest(
@@ -368,8 +366,8 @@
 		now: Millis,
 	): PlacementRequest {
 		const parts = query.work?.parts ?? []
-		const chains = promptPrefixKeys(parts)
-		const shared = chains.at(-2) ?? chains.at(-1)
+		const prefixKeys = promptPrefixKeys(parts)
+		const sharedPrefixKey = prefixKeys.at(-2) ?? prefixKeys.at(-1)
 		const names = listed
 			.filter((state) => this.admission.isInService(state))
 			.map((state) => state.entry.name)
@@ -377,10 +375,11 @@
 			zone: query.zone,
 			hasIdleConnection: query.hasIdleConnection,
 			parts,
-			prefixKeys: chains,
+			prefixKeys,
 			inputTokens: query.work && maxTotalTokens(query.work) > 0 ? query.work.inputTokens : 0,
 			plainMs: this.plainLatencies.of(query.service),
-			affinityTarget: shared === undefined ? undefined : rendezvousFirst(shared, names),
+			affinityTarget:
+				sharedPrefixKey === undefined ? undefined : rendezvousFirst(sharedPrefixKey, names),
 			baselineFailureRate: Math.min(...candidates.map((state) => state.failureRate(now))),
 		}
 	}
@@ -391,7 +390,7 @@
 		return this.admission.admits(state, now) && !query.isFull(name)
 	}
 
-	/** Looks again at what may have changed since the choice, while a connection was made. */
+	/** Repeats the checks that may fail since the choice of the target, as when a connection had to be opened first. */
 	private maySend(chosen: TargetEntry, attempt: OpenAttempt, now: Millis): boolean {
 		const state = this.stateOf(chosen)
 		if (!state || !this.admission.isOpen(state, now)) return false
--- a/packages/core/src/lib/placement/TargetState.ts
+++ b/packages/core/src/lib/placement/TargetState.ts
@@ -6,44 +6,43 @@
 import type { TargetNotice } from './TargetNotices.js'
 import type { RateLimitKind } from './TargetRateLimits.js'
 
-/** A request that was sent to a target and has not ended. */
+/** An attempt to send a request to a target that has not ended. */
 export interface OpenAttempt {
 	readonly sentAt: Millis
+	/** Expected time to first byte. */
 	readonly expectedMs: Millis
-	/** Prompt tokens that the target has to read before it answers. */
+	/** Prompt tokens that the target has to process before it responds. */
 	readonly prefillTokens: number
-	/** The rates for which it was counted as a request to the target. */
+	/** Rate limits against which the request has been counted. */
 	readonly countedLimits: RateLimitKind[]
-	/** The first byte of the answer has come. */
 	hasFirstByte: boolean
 }
 
-/** Work of another box at a target, as it said. */
+/** Work at a target, as another box reported it. */
 export interface PeerWork {
-	/** Prompt tokens sent and not answered yet. */
+	/** Prompt tokens of requests that have no response yet. */
 	readonly prefillTokens: number
-	/** Requests under way. */
+	/** Requests in flight. */
 	readonly openRequests: number
 	readonly receivedAt: Millis
 }
 
-/** How an attempt at a target ended, for the belief in that target. @public */
+/** How an attempt ended, as it counts for the health of the target. @public */
 export type TargetOutcome = 'good' | 'failed' | 'unreachable' | 'full' | 'cancelled'
 
-/** Half-life of the memory of failures and refusals, in ms. */
 const FAILURE_HALF_LIFE_MS = 4_000
-/** Weight of the newest result in the share of failures. */
+/** Weight of the newest result in the failure rate. */
 const FAILURE_WEIGHT = 0.2
-/** First time-out of a target that could not be reached, in ms; doubled at each further one. */
+/** Ejection time of a target after the first failed connection, in ms; doubles with each further one. */
 const INITIAL_EJECTION_MS = 250
 const MAX_EJECTION_MS = 3_000
 const SLOWDOWN_WEIGHT = 0.04
-/** One late answer among long prompts of others says little about the target. */
+/** Caps a single measurement: a request can be late because of the long prompts of other requests. */
 const MAX_SLOWDOWN_SAMPLE = 4
 const MIN_SLOWDOWN = 0.5
 const MAX_SLOWDOWN = 6
 
-/** What this box believes about one target, from its own requests and the target's words. */
+/** The state of one target as this box knows it, from its own requests and from reports of the target and other boxes. */
 export class TargetState {
 	readonly prefixCache = new PrefixCacheIndex()
 	readonly openAttempts = new Set<OpenAttempt>()
@@ -51,13 +50,13 @@
 	loadReportedAt: Millis = Number.NEGATIVE_INFINITY
 	lastByteAt: Millis = Number.NEGATIVE_INFINITY
 	ejectedUntil: Millis = Number.NEGATIVE_INFINITY
-	/** Work that other boxes said they have under way there, by box. */
+	/** Latest work report of each other box. */
 	readonly peerWork = new Map<BoxName, PeerWork>()
-	/** Time that answers take, as a multiple of what was expected. */
+	/** Smoothed ratio of the measured to the expected time to first byte. */
 	slowdown = 1
-	/** Until when it is slow after a start, by its own newest word. */
+	/** End of the cold period that the target last reported. */
 	private reportedColdUntil: Millis
-	/** Until when it is taken as cold whatever its entry says: its zone was given back. */
+	/** End of the cold period assumed after a cordon of its zone was lifted. */
 	private assumedColdUntil: Millis = Number.NEGATIVE_INFINITY
 	private lastFailureRate = 0
 	private failureUpdatedAt: Millis = 0
@@ -66,35 +65,35 @@
 	constructor(
 		public entry: TargetEntry,
 		now: Millis,
-		/** What it said of itself in its answers. */
+		/** What the target announced in its responses. */
 		public notice: TargetNotice,
 	) {
 		this.reportedColdUntil = now + entry.coldMs
 	}
 
-	/** A request of this box is there that no byte of an answer has come for. */
+	/** True if an attempt of this box has received no response byte yet. */
 	get isAwaitingFirstByte(): boolean {
 		for (const attempt of this.openAttempts) if (!attempt.hasFirstByte) return true
 		return false
 	}
 
-	/** It takes no new work: the list says so, or it said so itself. An entry of before its word does not undo that. */
+	/** True if the list or the target itself says that it is leaving. An older list entry does not revoke its notice. */
 	get leaving(): boolean {
 		return this.entry.leaving || this.notice.leavingSince !== undefined
 	}
 
-	/** Takes a newer entry. One that was written before counts from now: the target may be warm earlier. */
+	/** Applies an entry. The cold period counts from now only if the revision is new, so that re-reading does not extend it. */
 	noteEntry(entry: TargetEntry, now: Millis): void {
 		if (isNewerRevision(entry.revision, this.entry.revision)) this.noteCold(entry.coldMs, now)
 		this.entry = entry
 	}
 
-	/** The target told for how much longer it is cold. */
+	/** Records for how much longer the target is cold, as it reported. */
 	noteCold(coldMs: Millis, now: Millis): void {
 		this.reportedColdUntil = now + coldMs
 	}
 
-	/** Takes the target as cold for some time: it may have turned cold without a word that reached this box. */
+	/** Treats the target as cold although no report says so. */
 	assumeCold(coldMs: Millis, now: Millis): void {
 		this.assumedColdUntil = now + coldMs
 	}
@@ -103,14 +102,14 @@
 		return Math.max(this.reportedColdUntil, this.assumedColdUntil)
 	}
 
-	/** Share of recent attempts that failed or were turned away, fading with time. */
+	/** Smoothed share of recent attempts that failed or were rejected, decaying over time. */
 	failureRate(now: Millis): number {
 		if (this.lastFailureRate === 0) return 0
 		return this.lastFailureRate * 2 ** (-(now - this.failureUpdatedAt) / FAILURE_HALF_LIFE_MS)
 	}
 
-	noteOutcome(verdict: TargetOutcome, now: Millis): void {
-		switch (verdict) {
+	noteOutcome(outcome: TargetOutcome, now: Millis): void {
+		switch (outcome) {
 			case 'good':
 				this.consecutiveUnreachable = 0
 				this.updateFailureRate(0, now)
@@ -123,7 +122,7 @@
 				this.eject(now)
 				return
 			case 'full':
-				// A target that turns all requests away at once has no work, and would look the cheapest of all.
+				// Without this, a target that rejects every request has no load and the lowest cost.
 				this.updateFailureRate(1, now)
 				return
 			case 'cancelled':
@@ -136,7 +135,7 @@
 		this.loadReportedAt = now
 	}
 
-	/** Notes the time to the first byte against what was expected. */
+	/** Updates the slowdown from a measured time to first byte. */
 	noteLatency(expectedMs: Millis, tookMs: Millis): void {
 		const ratio = Math.min(MAX_SLOWDOWN_SAMPLE, tookMs / Math.max(1, expectedMs))
 		const next = this.slowdown + SLOWDOWN_WEIGHT * (ratio - this.slowdown)
@@ -150,8 +149,11 @@
 	}
 
 	private eject(now: Millis): void {
-		const pause = Math.min(MAX_EJECTION_MS, INITIAL_EJECTION_MS * 2 ** this.consecutiveUnreachable)
+		const durationMs = Math.min(
+			MAX_EJECTION_MS,
+			INITIAL_EJECTION_MS * 2 ** this.consecutiveUnreachable,
+		)
 		this.consecutiveUnreachable++
-		this.ejectedUntil = now + pause
+		this.ejectedUntil = now + durationMs
 	}
 }
--- a/packages/core/src/lib/placement/TargetWork.ts
+++ b/packages/core/src/lib/placement/TargetWork.ts
@@ -1,10 +1,10 @@
 import type { TargetIncarnation } from './TargetIncarnation.js'
 
-/** Work under way at one target. @public */
+/** Work in flight at one target. @public */
 export interface TargetWork {
 	readonly life: TargetIncarnation
-	/** Prompt tokens sent and not answered yet. */
+	/** Prompt tokens of requests that have no response yet. */
 	readonly unreadTokens: number
-	/** Requests under way. */
+	/** Requests in flight. */
 	readonly open: number
 }
--- a/packages/core/src/lib/placement/ZoneCordons.ts
+++ b/packages/core/src/lib/placement/ZoneCordons.ts
@@ -3,42 +3,43 @@
 import type { Millis } from '../units.js'
 
 /**
- * An operator's word that an availability zone takes no new work. What runs there ends undisturbed. It
- * holds until the operator takes it back. @public
+ * An operator's instruction to send no new requests to an availability zone, in force until the operator lifts it.
+ * Running requests are not interrupted.
+ * @public
  */
 export interface ZoneCordon {
 	readonly zone: ZoneName
-	/** Revision of the store that brought it. */
+	/** Store revision of the cordon. */
 	readonly revision: StoreRevision
 }
 
-/** What a new list of cordons changed. @public */
+/** Changes between two lists of cordons. @public */
 export interface CordonChanges {
 	readonly cordoned: readonly ZoneCordon[]
 	readonly reopened: readonly ZoneCordon[]
 }
 
-/** A cordon, and when this box took it. */
 interface ActiveCordon extends ZoneCordon {
+	/** When this box received the cordon. */
 	readonly since: Millis
 }
 
-/** The availability zones that take no new work, as far as this box knows. @public */
+/** The cordoned availability zones that this box knows of. @public */
 export class ZoneCordons {
 	private active = new Map<ZoneName, ActiveCordon>()
 
-	/** Takes the newest list, whole. */
+	/** Replaces the complete list. */
 	replace(cordons: readonly ZoneCordon[], now: Millis): CordonChanges {
-		const before = this.active
+		const previous = this.active
 		this.active = new Map(
 			cordons.map((cordon) => [
 				cordon.zone,
-				{ ...cordon, since: before.get(cordon.zone)?.since ?? now },
+				{ ...cordon, since: previous.get(cordon.zone)?.since ?? now },
 			]),
 		)
 		return {
-			cordoned: cordons.filter(({ zone }) => !before.has(zone)),
-			reopened: [...before.values()].filter(({ zone }) => !this.active.has(zone)),
+			cordoned: cordons.filter(({ zone }) => !previous.has(zone)),
+			reopened: [...previous.values()].filter(({ zone }) => !this.active.has(zone)),
 		}
 	}
 
@@ -50,7 +51,7 @@
 		return [...this.active.keys()]
 	}
 
-	/** Time since this box took the cordon of a zone, in ms; undefined where there is none. */
+	/** Time since this box received the cordon of a zone, in ms; undefined if the zone has none. */
 	ageMs(zone: ZoneName, now: Millis): Millis | undefined {
 		const cordon = this.active.get(zone)
 		return cordon && now - cordon.since
--- a/packages/core/src/lib/placement/advertisedRateLimit.ts
+++ b/packages/core/src/lib/placement/advertisedRateLimit.ts
@@ -2,55 +2,61 @@
 import type { FleetRateLimit, RateAllocation } from './FleetRateLimiter.js'
 import type { AdvertisedRate } from './TargetNotices.js'
 
-/** What a target in need bears by accident in any so many seconds: a multiple of what it named, and some requests. */
+/**
+ * Requests that the fleet may send by accident to an overloaded target in any window of `WINDOW_S` seconds: a multiple of
+ * the advertised rate plus a constant.
+ */
 const WINDOW_S = 4
 const MAX_OVERRUN_FACTOR = 1.5
 const MAX_OVERRUN_REQUESTS = 5
-/** Boxes that may wrongly take themselves for a sender: lists of boxes differ for some seconds. */
+/** Boxes that may send by mistake while the boxes' membership lists differ, which can last some seconds. */
 const MAX_EXTRA_SENDERS = 1
-/** Depth of the bucket of a sender, in requests: the least that lets one by. */
+/** Token bucket capacity of a sender, in requests: the minimum that allows sending. */
 const BUCKET_DEPTH = 1
 const SECOND_MS = 1_000
 /**
- * Time without a word on a rate after which a box that may not send tries a request, in ms: more than twice the time
- * in which senders tell it again (`RateSharing`), so that one lost datagram sets nobody off.
+ * Minimum time after the last report of a limit before a box without a share sends a probe. More than twice the interval
+ * at which senders repeat the report (`RateSharing`), so that a single lost datagram does not trigger probes.
  */
 const MIN_PROBE_DELAY_MS: Millis = 5_000
-/** Time over which the trials of boxes are spread, in ms. The first of them that is answered tells all others. */
+/** Spreads the probes of the boxes over time; the box that gets the first response informs all others. */
 const PROBE_JITTER_MS: Millis = 5_000
-/** Requests in whose time a rate is expected to be heard of at least once. */
+/** Number of requests at the advertised rate within which at least one report is expected. */
 const PROBE_DELAY_REQUESTS = 3
-/** Longest time without a word, in ms: a target that names next to nothing is still looked at once a minute. */
+/** Applies to targets that advertise a very low rate. */
 const MAX_PROBE_DELAY_MS: Millis = 60_000
 
 /**
- * The rate that a target named for all boxes together: as many senders as keep the whole fleet within what the target
- * bears, also where all buckets are full at once and one box wrongly takes itself for a sender. What they send together
- * over longer times is what the target named. More senders leave fewer boxes without a target where all of a service
- * name rates, and lose less where one is down.
+ * The rate limit that a target advertises for all boxes together. In the long run the senders together send at that
+ * rate. Their number is the greatest that keeps the fleet within the allowed overrun even if all buckets are full at once
+ * and an extra box sends by mistake. With more senders, fewer boxes have no target when all targets of a service advertise
+ * limits, and less capacity is lost when a sender is down.
  */
-export function advertisedRateLimit({ perSecond, saidAt }: AdvertisedRate): FleetRateLimit {
+export function advertisedRateLimit({ perSecond, reportedAt }: AdvertisedRate): FleetRateLimit {
 	return {
 		allocate: (boxes) => allocateRate(perSecond, boxes),
-		probe: { dueAt: saidAt + probeDelayMs(perSecond), jitterMs: PROBE_JITTER_MS },
+		probe: { dueAt: reportedAt + probeDelayMs(perSecond), jitterMs: PROBE_JITTER_MS },
 	}
 }
 
 function allocateRate(perSecond: number, boxes: number): RateAllocation {
 	const senders = Math.max(1, Math.min(boxes, maxSenders(perSecond)))
-	return { senders, perSecond: perSecond / senders, burst: BUCKET_DEPTH, isSpaced: true }
+	return { senders, perSecond: perSecond / senders, burst: BUCKET_DEPTH, isStaggered: true }
 }
 
 /**
- * The greatest number s with (s + MISTAKEN_SENDERS) x (asked / s + BURST) <= OVERRUN x asked + TOLERANCE, where `asked`
- * is what the target named for the window: 4 for one request in 4 s, 5 for 1.4 a second, 22 for 10 a second.
+ * The greatest integer s with (s + MAX_EXTRA_SENDERS) * (advertised / s + BUCKET_DEPTH) <= MAX_OVERRUN_FACTOR * advertised
+ * + MAX_OVERRUN_REQUESTS, where `advertised` is the number of requests that the rate allows in the window. Examples: 4 for
+ * 0.25 requests per second, 5 for 1.4, 22 for 10.
  */
 function maxSenders(perSecond: number): number {
-	const asked = perSecond * WINDOW_S
-	const most = MAX_OVERRUN_FACTOR * asked + MAX_OVERRUN_REQUESTS
-	const free = most - asked - BUCKET_DEPTH * MAX_EXTRA_SENDERS
+	const advertised = perSecond * WINDOW_S
+	const maxInWindow = MAX_OVERRUN_FACTOR * advertised + MAX_OVERRUN_REQUESTS
+	const excess = maxInWindow - advertised - BUCKET_DEPTH * MAX_EXTRA_SENDERS
 	return Math.floor(
-		(free + Math.sqrt(free ** 2 - 4 * BUCKET_DEPTH * MAX_EXTRA_SENDERS * asked)) / 2 / BUCKET_DEPTH,
+		(excess + Math.sqrt(excess ** 2 - 4 * BUCKET_DEPTH * MAX_EXTRA_SENDERS * advertised)) /
+			2 /
+			BUCKET_DEPTH,
 	)
 }
 
--- a/packages/core/src/lib/placement/coldRateLimit.test.ts
+++ b/packages/core/src/lib/placement/coldRateLimit.test.ts
@@ -8,8 +8,8 @@
 const TARGET = brandId<TargetName>('i-1')
 const COLD_START: ColdStart = { ms: 3_000, requestsPerSecond: 7.7 }
 const LIMITS: ColdLimits = { overrun: 1.5, tolerance: 5 }
-const MOST_IN_A_SECOND = COLD_START.requestsPerSecond * LIMITS.overrun + LIMITS.tolerance
-const RATE = coldRateLimit(COLD_START, LIMITS)
+const MAX_IN_A_SECOND = COLD_START.requestsPerSecond * LIMITS.overrun + LIMITS.tolerance
+const RATE_LIMIT = coldRateLimit(COLD_START, LIMITS)
 const SECOND_MS = 1_000
 const STEP_MS = 10
 
@@ -17,56 +17,60 @@
 	return Array.from({ length: count }, (_, index) => brandId<BoxName>(`box-${index}`))
 }
 
-function gateOf(self: BoxName, boxes: readonly BoxName[], isSettled = true): FleetRateLimiter {
+function createLimiter(
+	self: BoxName,
+	boxes: readonly BoxName[],
+	isSettled = true,
+): FleetRateLimiter {
 	return new FleetRateLimiter({ self, boxes: () => boxes, isSettled: () => isSettled })
 }
 
-/** One box of a run, which may start anew and may not know one of the others yet. */
+/** A simulated box, which may restart and may not know the new box yet. */
 interface Sender {
 	readonly box: BoxName
 	readonly boxes: readonly BoxName[]
 	readonly restartsAt: number
-	gate: FleetRateLimiter
+	limiter: FleetRateLimiter
 }
 
 interface Run {
 	readonly fleet: number
-	/** The box that a part of the others does not know of yet. */
-	readonly newcomer: number
-	/** Each so many of the boxes does not know the newcomer. */
-	readonly unawareEach: number
-	/** When a quarter of the boxes starts anew, in ms. */
+	/** Index of the new box, which some of the others do not know yet. */
+	readonly newBox: number
+	/** Every n-th box does not know the new box. */
+	readonly unawareInterval: number
+	/** When a quarter of the boxes restarts, in ms. */
 	readonly restartsAt: number
-	/** Requests of every box at each step, in turn: bursts and pauses. */
+	/** Requests of every box in successive steps, repeated from the start. */
 	readonly bursts: readonly number[]
 }
 
 const runs: fc.Arbitrary<Run> = fc.record({
 	fleet: fc.constantFrom(75, 499),
-	newcomer: fc.nat(498),
-	unawareEach: fc.integer({ min: 1, max: 4 }),
+	newBox: fc.nat(498),
+	unawareInterval: fc.integer({ min: 1, max: 4 }),
 	restartsAt: fc.integer({ min: 0, max: 3_000 }),
 	bursts: fc.array(fc.nat(20), { minLength: 1, maxLength: 12 }),
 })
 
-/** When requests left for a cold target that all boxes want to send to at once, and hear nothing of each other. */
+/** Times of the requests to a cold target that all boxes want to send to, without any communication. */
 function timesSent(run: Run): number[] {
 	const all = boxNames(run.fleet)
-	const newcomer = all[run.newcomer % run.fleet]
+	const newBox = all[run.newBox % run.fleet]
 	const senders = all.map((box, index): Sender => {
-		const isUnaware = index % run.unawareEach === 0 && box !== newcomer
-		const boxes = isUnaware ? all.filter((other) => other !== newcomer) : all
+		const isUnaware = index % run.unawareInterval === 0 && box !== newBox
+		const boxes = isUnaware ? all.filter((other) => other !== newBox) : all
 		const restartsAt = index % 4 === 0 ? run.restartsAt : -1
-		return { box, boxes, restartsAt, gate: gateOf(box, boxes) }
+		return { box, boxes, restartsAt, limiter: createLimiter(box, boxes) }
 	})
 	const sent: number[] = []
 	for (let now = 0; now < COLD_START.ms; now += STEP_MS) {
-		const wanted = run.bursts[(now / STEP_MS) % run.bursts.length] ?? 0
+		const requests = run.bursts[(now / STEP_MS) % run.bursts.length] ?? 0
 		for (const sender of senders) {
 			if (Math.abs(now - sender.restartsAt) < STEP_MS / 2)
-				sender.gate = gateOf(sender.box, sender.boxes)
-			for (let i = 0; i < wanted && sender.gate.canSend(TARGET, RATE, now); i++) {
-				sender.gate.consume(TARGET, RATE, now)
+				sender.limiter = createLimiter(sender.box, sender.boxes)
+			for (let i = 0; i < requests && sender.limiter.canSend(TARGET, RATE_LIMIT, now); i++) {
+				sender.limiter.consume(TARGET, RATE_LIMIT, now)
 				sent.push(now)
 			}
 		}
@@ -74,32 +78,32 @@
 	return sent
 }
 
-describe('the rate of a cold target', () => {
-	it('keeps the whole fleet below what a cold target may get in any second, without a word between boxes', () => {
+describe('the rate limit of a cold target', () => {
+	it('keeps the whole fleet within the limits of a cold target in any second, without communication', () => {
 		fc.assert(
 			fc.property(runs, (run) => {
-				expect(maxCountInWindow(timesSent(run), SECOND_MS)).toBeLessThanOrEqual(MOST_IN_A_SECOND)
+				expect(maxCountInWindow(timesSent(run), SECOND_MS)).toBeLessThanOrEqual(MAX_IN_A_SECOND)
 			}),
 			{ seed: 37, numRuns: 60 },
 		)
 	})
 
-	it('lets a cold target have most of what it bears', () => {
-		const run = { fleet: 75, newcomer: 0, unawareEach: 4, restartsAt: 4_000, bursts: [5] }
-		const borne = (COLD_START.requestsPerSecond * COLD_START.ms) / SECOND_MS
-		expect(timesSent(run).length).toBeGreaterThan(0.8 * borne)
+	it('allows most of the rate that a cold target can handle', () => {
+		const run = { fleet: 75, newBox: 0, unawareInterval: 4, restartsAt: 4_000, bursts: [5] }
+		const capacity = (COLD_START.requestsPerSecond * COLD_START.ms) / SECOND_MS
+		expect(timesSent(run).length).toBeGreaterThan(0.8 * capacity)
 	})
 
-	it('lets nothing by from a box that the others may not know of yet', () => {
-		const gate = gateOf(brandId<BoxName>('box-0'), boxNames(1), false)
-		gate.canSend(TARGET, RATE, 0)
-		expect(gate.canSend(TARGET, RATE, 60_000)).toBe(false)
+	it('allows no requests from a box that the others may not know yet', () => {
+		const limiter = createLimiter(brandId<BoxName>('box-0'), boxNames(1), false)
+		limiter.canSend(TARGET, RATE_LIMIT, 0)
+		expect(limiter.canSend(TARGET, RATE_LIMIT, 60_000)).toBe(false)
 	})
 
-	it('has at least one request a target where the fleet may send hardly any', () => {
-		const gate = gateOf(brandId<BoxName>('box-0'), boxNames(1))
+	it('allows single requests even if the rate is very low', () => {
+		const limiter = createLimiter(brandId<BoxName>('box-0'), boxNames(1))
 		const slow = coldRateLimit({ ms: 3_000, requestsPerSecond: 0.5 }, { overrun: 1, tolerance: 0 })
-		expect(gate.canSend(TARGET, slow, 0)).toBe(false)
-		expect(gate.canSend(TARGET, slow, 10_000)).toBe(true)
+		expect(limiter.canSend(TARGET, slow, 0)).toBe(false)
+		expect(limiter.canSend(TARGET, slow, 10_000)).toBe(true)
 	})
 })
--- a/packages/core/src/lib/placement/coldRateLimit.ts
+++ b/packages/core/src/lib/placement/coldRateLimit.ts
@@ -1,45 +1,48 @@
 import type { Millis } from '../units.js'
 import type { FleetRateLimit, RateAllocation } from './FleetRateLimiter.js'
 
-/** How targets of a service bear requests shortly after their start. @public */
+/** Cold-start behaviour of the targets of a service. @public */
 export interface ColdStart {
-	/** Time for which a target stays cold. */
+	/** Duration of the cold phase after a start. */
 	readonly ms: Millis
-	/** Requests a second that a cold target bears. */
+	/** Rate of requests that a cold target can handle. */
 	readonly requestsPerSecond: number
 }
 
-/** What the fleet may send to one cold target in any second, beyond what it bears. @public */
+/** How far the fleet may exceed the rate of one cold target in any second. @public */
 export interface ColdLimits {
-	/** Multiple of what the target bears. */
+	/** Maximum as a multiple of the rate that the target can handle. */
 	readonly overrun: number
-	/** Requests on top of that. */
+	/** Requests allowed in addition to that multiple. */
 	readonly tolerance: number
 }
 
-/** Boxes that send to one cold target: two, so that it warms up also where one of them is down. */
+/** More than one, so that the target warms up even if one of the boxes is down. */
 const SENDERS_PER_COLD_TARGET = 2
-/** Boxes that may wrongly take themselves for a sender: lists of boxes differ for some seconds. */
+/** Boxes that may send by mistake while the boxes' membership lists differ, which can last some seconds. */
 const MAX_EXTRA_SENDERS = 1
 
-/** The rate of a cold target. It ends by itself when the target is warm. */
+/** The rate limit of a cold target. No probes are needed: the end of the cold phase is known. */
 export function coldRateLimit(
 	{ requestsPerSecond }: ColdStart,
 	limits: ColdLimits,
 ): FleetRateLimit {
-	const most = requestsPerSecond * limits.overrun + limits.tolerance
-	const part = Math.max(1, Math.floor(most / (SENDERS_PER_COLD_TARGET + MAX_EXTRA_SENDERS)))
-	// A bucket lets by its depth and its rate together in one second; its depth must be one request at least.
+	const maxPerSecond = requestsPerSecond * limits.overrun + limits.tolerance
+	const maxPerSender = Math.max(
+		1,
+		Math.floor(maxPerSecond / (SENDERS_PER_COLD_TARGET + MAX_EXTRA_SENDERS)),
+	)
+	// In one second a sender sends at most its bucket capacity plus its refill rate. The capacity is at least one request.
 	const perSecond = Math.min(
 		requestsPerSecond / SENDERS_PER_COLD_TARGET,
-		Math.max(part - 1, part / 2),
+		Math.max(maxPerSender - 1, maxPerSender / 2),
 	)
-	const burst = Math.max(1, part - perSecond)
-	const division: RateAllocation = {
+	const burst = Math.max(1, maxPerSender - perSecond)
+	const allocation: RateAllocation = {
 		senders: SENDERS_PER_COLD_TARGET,
 		perSecond,
 		burst,
-		isSpaced: false,
+		isStaggered: false,
 	}
-	return { allocate: () => division, probe: undefined }
+	return { allocate: () => allocation, probe: undefined }
 }
--- a/packages/core/src/lib/placement/fleetRateSimulation.ts
+++ b/packages/core/src/lib/placement/fleetRateSimulation.ts
@@ -3,32 +3,30 @@
 import type { Millis } from '../units.js'
 import { FleetRateLimiter, type FleetRateLimit } from './FleetRateLimiter.js'
 
-/** What is played by {@link simulateFleetRate}. */
 export interface FleetRateSimulationOptions {
 	readonly boxes: number
-	/** Targets of one service; each names the same rate. */
+	/** Targets of one service, all with the same rate limit. */
 	readonly targets: number
-	/** Requests a second that arrive at each box, each of which may go to any of the targets. */
+	/** Requests per second that arrive at each box. Each can be sent to any target. */
 	readonly requestsPerSecondPerBox: number
 	readonly rate: FleetRateLimit
 	readonly random: () => number
-	/** Boxes that the first half of the others does not know of, and which know all. */
+	/** Boxes that every other one of the remaining boxes does not know yet. They know all boxes themselves. */
 	readonly newBoxes: number
-	/** Boxes that are down, and still listed. */
+	/** Boxes that are down but still listed. */
 	readonly downBoxes: number
-	/** When a quarter of the boxes starts anew with empty buckets. */
+	/** When a quarter of the boxes restarts with new buckets; 0 if none does. */
 	readonly restartsAt: Millis
-	/** When requests begin to arrive: until then all buckets fill. */
+	/** When requests start to arrive. All buckets fill up to their capacity before. */
 	readonly demandStartsAt: Millis
 }
 
-/** What became of it. */
 export interface FleetRateSimulationResult {
-	/** Most requests that reached one target in {@link WINDOW_MS}. */
+	/** Maximum number of requests to one target in any window of {@link WINDOW_MS}. */
 	readonly maxInWindow: number
-	/** Requests that reached a target in a second, in the mean of all targets. */
+	/** Mean number of requests per second and target. */
 	readonly perSecond: number
-	/** Part of the boxes that sent no request at all. */
+	/** Fraction of the running boxes that sent no request. */
 	readonly starvedFraction: number
 }
 
@@ -37,31 +35,30 @@
 	readonly boxes: readonly BoxName[]
 	readonly isDown: boolean
 	readonly restarts: boolean
-	gate: FleetRateLimiter
+	limiter: FleetRateLimiter
 	sent: number
 }
 
-/** Time in which what reaches a target is added up, in ms. */
 export const WINDOW_MS: Millis = 4_000
 const STEP_MS: Millis = 20
 const SIMULATED_MS: Millis = 40_000
 const SECOND_MS = 1_000
 
-/** Boxes that hear nothing of each other send all that they may to targets that name a rate. */
+/** Simulates boxes that send as many requests as possible to rate-limited targets, without any communication. */
 export function simulateFleetRate(options: FleetRateSimulationOptions): FleetRateSimulationResult {
 	const senders = makeBoxes(options)
 	const targets = Array.from({ length: options.targets }, (_, i) => brandId<TargetName>(`t${i}`))
 	const times = new Map<TargetName, Millis[]>(targets.map((target) => [target, []]))
 	for (let now = 0; now < SIMULATED_MS; now += STEP_MS) {
 		for (const sender of senders) {
-			if (sender.restarts && now === options.restartsAt) sender.gate = createLimiter(sender)
+			if (sender.restarts && now === options.restartsAt) sender.limiter = createLimiter(sender)
 			if (sender.isDown) continue
-			// Without a request a box does not look at its buckets.
-			const wanted = now === 0 ? 1 : now < options.demandStartsAt ? 0 : arrivals(options)
-			for (let i = wanted; i > 0; i--) {
-				const target = targets.find((name) => sender.gate.canSend(name, options.rate, now))
+			// One request at the start creates the buckets, which a box does only when it needs a target.
+			const requests = now === 0 ? 1 : now < options.demandStartsAt ? 0 : arrivals(options)
+			for (let i = requests; i > 0; i--) {
+				const target = targets.find((name) => sender.limiter.canSend(name, options.rate, now))
 				if (!target) break
-				sender.gate.consume(target, options.rate, now)
+				sender.limiter.consume(target, options.rate, now)
 				sender.sent++
 				times.get(target)?.push(now)
 			}
@@ -72,23 +69,23 @@
 
 function makeBoxes({
 	boxes,
-	newBoxes: newcomers,
-	downBoxes: down,
+	newBoxes,
+	downBoxes,
 	restartsAt,
 }: FleetRateSimulationOptions): SimulatedBox[] {
 	const all = Array.from({ length: boxes }, (_, i) => brandId<BoxName>(`box-${i}`))
-	const known = all.slice(newcomers)
+	const withoutNewBoxes = all.slice(newBoxes)
 	return all.map((box, i) => {
-		const isUnaware = i >= newcomers && i % 2 === 0
-		const boxesKnown = isUnaware ? known : all
-		const isDown = i >= boxes - down
+		const isUnaware = i >= newBoxes && i % 2 === 0
+		const boxesKnown = isUnaware ? withoutNewBoxes : all
+		const isDown = i >= boxes - downBoxes
 		const restarts = restartsAt > 0 && i % 4 === 0
 		return {
 			box,
 			boxes: boxesKnown,
 			isDown,
 			restarts,
-			gate: createLimiter({ box, boxes: boxesKnown }),
+			limiter: createLimiter({ box, boxes: boxesKnown }),
 			sent: 0,
 		}
 	})
@@ -98,11 +95,8 @@
 	return new FleetRateLimiter({ self: box, boxes: () => boxes, isSettled: () => true })
 }
 
-function arrivals({
-	requestsPerSecondPerBox: demandPerBox,
-	random,
-}: FleetRateSimulationOptions): number {
-	return Math.floor((demandPerBox * STEP_MS) / SECOND_MS + random())
+function arrivals({ requestsPerSecondPerBox, random }: FleetRateSimulationOptions): number {
+	return Math.floor((requestsPerSecondPerBox * STEP_MS) / SECOND_MS + random())
 }
 
 function summarize(
@@ -110,11 +104,11 @@
 	senders: readonly SimulatedBox[],
 	times: readonly Millis[][],
 ): FleetRateSimulationResult {
-	const alive = senders.filter(({ isDown }) => !isDown)
-	const sum = times.reduce((total, list) => total + list.length, 0)
+	const running = senders.filter(({ isDown }) => !isDown)
+	const total = times.reduce((sum, list) => sum + list.length, 0)
 	return {
 		maxInWindow: Math.max(...times.map((list) => maxCountInWindow(list, WINDOW_MS))),
-		perSecond: sum / targets / (SIMULATED_MS / SECOND_MS),
-		starvedFraction: alive.filter(({ sent }) => sent === 0).length / alive.length,
+		perSecond: total / targets / (SIMULATED_MS / SECOND_MS),
+		starvedFraction: running.filter(({ sent }) => sent === 0).length / running.length,
 	}
 }
--- a/packages/core/src/lib/placement/overloadSimulation.test.ts
+++ b/packages/core/src/lib/placement/overloadSimulation.test.ts
@@ -4,7 +4,7 @@
 
 const SEEDS = [1, 2, 3]
 
-/** Plain requests: 6 places and a queue of 12 at each of six targets, over their capacity for 3 s. */
+/** Requests without prompts, at six targets with 6 slots and a queue of 12 each. */
 const PLAIN: Omit<OverloadSimulationOptions, 'random'> = {
 	boxes: 7,
 	targets: 6,
@@ -18,35 +18,38 @@
 	callerTimeoutMs: 6_000,
 }
 
-/** Long requests at targets with many places. */
-const LONG = { ...PLAIN, slots: 32, queue: 20, workMs: 600, patienceMs: 15_000 }
+/** Long requests, at targets with many slots. */
+const LONG = { ...PLAIN, slots: 32, maxQueued: 20, workMs: 600, callerTimeoutMs: 15_000 }
 
 /**
- * Two thirds of what the targets bear. Of the 15 s, 3 s bring 2.5 times that and the others 0.7 times: they bear 0.72 of
- * all requests.
+ * Two thirds of the requests that the targets have capacity for. With a load of 2.5 for 3 s and 0.7 for the other 12 s,
+ * that capacity is enough for 0.72 of all requests.
  */
-const AIM = (0.72 * 2) / 3
+const MIN_SERVED_FRACTION = (0.72 * 2) / 3
 
-/** Part of the requests that is served, over all seeds. */
-function servedPart(options: Omit<OverloadSimulationOptions, 'random'>): number {
-	let asked = 0
+/** Fraction of the requests that are served, over all seeds. */
+function servedFraction(options: Omit<OverloadSimulationOptions, 'random'>): number {
+	let requests = 0
 	let served = 0
 	for (const seed of SEEDS) {
 		const result = simulateOverload({ ...options, random: seededRandom(seed) })
-		asked += result.requests
+		requests += result.requests
 		served += result.served
 	}
-	return served / asked
+	return served / requests
 }
 
-describe('a service that is over its capacity for 3 s', () => {
+describe('a service that was over its capacity for 3 s', () => {
 	it.each([
 		['plain requests', PLAIN],
-		['plain requests of callers who come back once', { ...PLAIN, retries: 1 }],
+		['plain requests of callers that retry once', { ...PLAIN, retries: 1 }],
 		['long requests', LONG],
-	])('serves %s again after it, as targets reopen with one request each', (_, options) => {
-		expect(servedPart(options)).toBeGreaterThan(AIM)
-		// All that was refused meanwhile, sent at the end of the backoff, fills the targets again and again.
-		expect(servedPart({ ...options, reopeningMs: 0 })).toBeLessThan(AIM)
-	})
+	])(
+		'serves %s again afterwards, because targets reopen with one request at a time',
+		(_, options) => {
+			expect(servedFraction(options)).toBeGreaterThan(MIN_SERVED_FRACTION)
+			// Without that limit, the retries at the end of each backoff overload the targets again.
+			expect(servedFraction({ ...options, reopeningMs: 0 })).toBeLessThan(MIN_SERVED_FRACTION)
+		},
+	)
 })
--- a/packages/core/src/lib/placement/overloadSimulation.ts
+++ b/packages/core/src/lib/placement/overloadSimulation.ts
@@ -5,38 +5,37 @@
 import type { TargetEntry } from './TargetEntry.js'
 import { SERVICE, entry, query } from './testEntries.js'
 
-/** What is played by {@link simulateOverload}. */
 export interface OverloadSimulationOptions {
 	readonly random: () => number
 	readonly boxes: number
 	readonly targets: number
-	/** Requests that a target works on at the same time, and that wait there; it turns away what comes beyond. */
+	/** Requests that a target processes concurrently. */
 	readonly slots: number
+	/** Requests that wait at a target. It rejects requests above this number. */
 	readonly maxQueued: number
-	/** Time that a request takes, in ms. */
+	/** Mean processing time of a request, in ms. */
 	readonly workMs: Millis
-	/** Load during the burst and at other times, as a multiple of what all targets bear. */
+	/** Load during the burst, as a multiple of the capacity of all targets. */
 	readonly burstLoad: number
+	/** Load outside the burst, as a multiple of the capacity of all targets. */
 	readonly baseLoad: number
-	/** Time that a target wants to be left alone when it turns a request away, in ms. */
+	/** Backoff that a target requests when it rejects a request, in ms. */
 	readonly backoffMs: Millis
-	/** How often a caller comes back. */
+	/** Maximum number of retries of a caller. */
 	readonly retries: number
-	/** How long a caller waits in all, in ms. */
+	/** Total time that a caller waits, in ms. */
 	readonly callerTimeoutMs: Millis
 	/** See `AdmissionOptions`. */
 	readonly reopeningMs?: Millis
 }
 
-/** What became of it. */
 export interface OverloadSimulationResult {
 	readonly requests: number
 	readonly served: number
-	/** Requests that targets turned away. */
+	/** Attempts that targets rejected. */
 	readonly rejected: number
 }
 
-/** A request of a caller. */
 interface SimulatedCall {
 	readonly box: number
 	readonly deadlineAt: Millis
@@ -59,15 +58,16 @@
 const SIMULATED_MS: Millis = 15_000
 const BURST_FROM_MS: Millis = 1_000
 const BURST_UNTIL_MS: Millis = 4_000
-/** What callers are asked to wait at least, and the spread over which they come back, in ms. */
+/** Minimum delay that callers are asked to wait before a retry. */
 const MIN_RETRY_DELAY_MS: Millis = 100
+/** Maximum random delay in addition. */
 const RETRY_JITTER_MS: Millis = 200
-/** Part of the time that is left which a caller waits at most before it comes back. */
+/** Maximum wait before a retry, as a fraction of the time left until the deadline. */
 const MAX_WAIT_FRACTION = 1 / 3
 
 /**
- * The pattern of a service that is over its capacity for some seconds: its targets turn requests away and ask boxes
- * for a backoff, callers are refused meanwhile and come back together. Boards of boxes that do not hear each other.
+ * Simulates a service that is over its capacity for some seconds: targets reject requests and request backoffs, and
+ * callers refused during the backoffs retry together. The boxes do not share work reports.
  */
 export function simulateOverload(options: OverloadSimulationOptions): OverloadSimulationResult {
 	return new OverloadSimulation(options).run()
@@ -94,49 +94,53 @@
 		this.byName = new Map(this.targets.map((target) => [brandId(target.entry.name), target]))
 		const { reopeningMs } = options
 		this.registries = Array.from({ length: options.boxes }, () => {
-			const board = new TargetRegistry(reopeningMs === undefined ? {} : { reopeningMs })
-			board.replace(
+			const registry = new TargetRegistry(reopeningMs === undefined ? {} : { reopeningMs })
+			registry.replace(
 				this.targets.map((target) => target.entry),
 				0,
 			)
-			return board
+			return registry
 		})
 	}
 
 	run(): OverloadSimulationResult {
 		for (; this.now < SIMULATED_MS; this.now += STEP_MS) {
 			for (const target of this.targets) this.advance(target)
-			const back = this.pendingRetries.filter(({ at }) => at <= this.now)
+			const due = this.pendingRetries.filter(({ at }) => at <= this.now)
 			this.pendingRetries = this.pendingRetries.filter(({ at }) => at > this.now)
-			for (const { call } of back) this.dispatch(call)
+			for (const { call } of due) this.dispatch(call)
 			for (let i = this.arrivals(); i > 0; i--) this.addCall()
 		}
-		const { requests: asked, served, rejected: turnedAway } = this
-		return { requests: asked, served, rejected: turnedAway }
+		const { requests, served, rejected } = this
+		return { requests, served, rejected }
 	}
 
 	private arrivals(): number {
-		const { targets, slots, workMs, burstLoad: burst, baseLoad: calm, random } = this.options
+		const { targets, slots, workMs, burstLoad, baseLoad, random } = this.options
 		const isBurst = this.now >= BURST_FROM_MS && this.now < BURST_UNTIL_MS
-		const mean = ((targets * slots) / workMs) * STEP_MS * (isBurst ? burst : calm)
+		const mean = ((targets * slots) / workMs) * STEP_MS * (isBurst ? burstLoad : baseLoad)
 		return Math.floor(mean + random())
 	}
 
 	private addCall(): void {
-		const { boxes, callerTimeoutMs: patienceMs, random, retries } = this.options
+		const { boxes, callerTimeoutMs, random, retries } = this.options
 		this.requests++
-		this.dispatch({ box: Math.floor(random() * boxes), deadlineAt: this.now + patienceMs, retries })
+		this.dispatch({
+			box: Math.floor(random() * boxes),
+			deadlineAt: this.now + callerTimeoutMs,
+			retries,
+		})
 	}
 
 	private dispatch(call: SimulatedCall): void {
-		const board = this.registries[call.box]
-		const place = board?.choose(query(), this.now)
-		if (!board || !place) {
+		const registry = this.registries[call.box]
+		const placement = registry?.choose(query(), this.now)
+		if (!registry || !placement) {
 			this.scheduleRetry(call)
 			return
 		}
-		const handle = board.beginAttempt(place, undefined, this.now)
-		const target = this.byName.get(place.target.name)
+		const handle = registry.beginAttempt(placement, undefined, this.now)
+		const target = this.byName.get(placement.target.name)
 		if (!target) return
 		if (target.waiting.length < this.options.maxQueued) {
 			target.waiting.push({ call, handle, endsAt: Infinity })
@@ -154,24 +158,24 @@
 		if (call.retries === 0 || leftMs < MIN_RETRY_DELAY_MS) return
 		call.retries--
 		const opensInMs = this.registries[call.box]?.closedCause(SERVICE, this.now)?.opensInMs ?? 0
-		const pauseMs =
+		const delayMs =
 			Math.max(MIN_RETRY_DELAY_MS, opensInMs) + this.options.random() * RETRY_JITTER_MS
-		const at = this.now + Math.min(pauseMs, leftMs * MAX_WAIT_FRACTION)
+		const at = this.now + Math.min(delayMs, leftMs * MAX_WAIT_FRACTION)
 		this.pendingRetries.push({ at, call })
 	}
 
 	private advance(target: SimulatedTarget): void {
-		for (const run of target.running.filter(({ endsAt }) => endsAt <= this.now)) {
-			run.handle.noteByte(this.now)
-			run.handle.end('good', this.now)
-			if (run.call.deadlineAt >= this.now) this.served++
+		for (const attempt of target.running.filter(({ endsAt }) => endsAt <= this.now)) {
+			attempt.handle.noteByte(this.now)
+			attempt.handle.end('good', this.now)
+			if (attempt.call.deadlineAt >= this.now) this.served++
 		}
 		target.running = target.running.filter(({ endsAt }) => endsAt > this.now)
 		while (target.running.length < this.options.slots && target.waiting.length > 0) {
-			const [run] = target.waiting.splice(0, 1)
-			if (!run) return
-			run.endsAt = this.now + this.options.workMs * (0.5 + this.options.random())
-			target.running.push(run)
+			const [attempt] = target.waiting.splice(0, 1)
+			if (!attempt) return
+			attempt.endsAt = this.now + this.options.workMs * (0.5 + this.options.random())
+			target.running.push(attempt)
 		}
 	}
 }
--- a/packages/core/src/lib/placement/placementCost.ts
+++ b/packages/core/src/lib/placement/placementCost.ts
@@ -3,79 +3,84 @@
 import type { Millis } from '../units.js'
 import type { PeerWork, TargetState } from './TargetState.js'
 
-/** What is known of a request when a place for it is sought. */
+/** Properties of a request that determine what it costs at a target. */
 export interface PlacementRequest {
 	readonly zone: ZoneName
 	readonly parts: readonly PromptPart[]
-	/** See `promptChains`. */
+	/** One key for each prompt prefix; see `promptPrefixKeys`. */
 	readonly prefixKeys: readonly string[]
-	/** Prompt tokens in all; 0 for a request to a plain service. */
+	/** Total prompt tokens; 0 for a request without a prompt. */
 	readonly inputTokens: number
-	/** Time that a request to this service takes where nothing is ahead of it. */
+	/** Expected time to first byte of a request without a prompt, at a target with no other work. */
 	readonly plainMs: Millis
-	/** The target that all boxes take for this prompt when nothing speaks against it. */
+	/** The target to which rendezvous hashing assigns the shared prompt prefix; the same on all boxes. */
 	readonly affinityTarget: TargetName | undefined
-	/** Least share of failures among the targets of the service: what is the service's own. */
+	/** Lowest failure rate among the candidates. Only failures above it count against a target. */
 	readonly baselineFailureRate: number
-	/** True where this box holds a connection to the target that nothing uses. */
+	/** True if this box has an idle connection to the target. */
 	readonly hasIdleConnection: (target: TargetName) => boolean
 }
 
-/** A price for sending a request to a target, in ms of delay, and what it was made of. */
+/** Cost of sending a request to a target, in ms of delay, with the estimates behind it. */
 export interface PlacementCost {
 	readonly ms: number
+	/** Expected time to first byte at a target of normal speed. */
 	readonly expectedMs: Millis
+	/** Prompt tokens that the target has to process because they are not in its prefix cache. */
 	readonly prefillTokens: number
 }
 
-/** Prompt tokens that an engine reads in a ms, until it shows otherwise through its slowness. */
+/** Prefill throughput of an engine of normal speed; `TargetState.slowdown` corrects it per target. */
 const PREFILL_TOKENS_PER_MS = 35
-/** Delay that a prompt token read again is worth beyond the time it takes. */
+/** Extra cost of processing shared prompt tokens again, as a multiple of their prefill time. */
 const REPEATED_PREFILL_WEIGHT = 3
-/** Part of a shared prompt that the home is believed to keep although this box never saw it. */
+/** Assumed fraction of a shared prefix that the affinity target has cached from requests of other boxes. */
 const AFFINITY_CACHE_PROBABILITY = 0.95
-/** Tokens to be read that stand for one waiting request of other boxes. */
+/** Assumed prefill tokens of one request in a target's queue. */
 const PREFILL_TOKENS_PER_WAITING_REQUEST = 1_500
 const LOAD_HALF_LIFE_MS = 300
-/** Age from which the word of another box no longer counts. */
+/** Age from which a work report of another box is ignored. */
 const MAX_PEER_WORK_AGE_MS = 600
 const ENGINE_STEP_MS = 8
 const SLOWDOWN_PER_RUNNING_REQUEST = 0.004
 const FAILURE_COST_MS = 600
 const CROSS_ZONE_COST_MS = 4
 /**
- * Delay of a new connection: two ways over the link, the target's own time for it, and what it takes of this box;
- * a target may hold a place for it for a moment.
+ * Cost of opening a connection: a network round trip and the processing time of the target and of this box. The target
+ * may also reserve a slot for the connection for a moment.
  */
 const NEW_CONNECTION_COST_MS = 6
 const OVERDUE_GRACE_MS = 350
+/** Multiple of the expected time after which a first byte is overdue, in addition to the grace period. */
 const OVERDUE_FACTOR = 4
+/** Slowdown assumed for a cold target. */
 const COLD_FACTOR = 1.5
 
-/** The price of a target for a request. */
+/** Estimates the cost of sending a request to a target. */
 export function placementCost(
 	target: TargetState,
 	request: PlacementRequest,
 	now: Millis,
 ): PlacementCost {
-	const unreadTokens = prefillTokensAt(target, request)
+	const prefillTokens = prefillTokensAt(target, request)
 	const expectedMs =
 		request.inputTokens > 0
-			? engineMs(target, unreadTokens, now)
+			? engineMs(target, prefillTokens, now)
 			: plainServiceMs(target, request.plainMs, now)
-	const cold = target.coldUntil > now ? COLD_FACTOR : 1
-	const slow = expectedMs * target.slowdown * cold
-	const reread =
-		(REPEATED_PREFILL_WEIGHT * sharedPrefillTokens(request, unreadTokens)) / PREFILL_TOKENS_PER_MS
-	const failing =
+	const coldFactor = target.coldUntil > now ? COLD_FACTOR : 1
+	const processing = expectedMs * target.slowdown * coldFactor
+	const repeatedPrefill =
+		(REPEATED_PREFILL_WEIGHT * sharedPrefillTokens(request, prefillTokens)) / PREFILL_TOKENS_PER_MS
+	const failures =
 		Math.max(0, target.failureRate(now) - request.baselineFailureRate) * FAILURE_COST_MS
-	const crossing = target.entry.zone === request.zone ? 0 : CROSS_ZONE_COST_MS
-	const connecting = request.hasIdleConnection(target.entry.name) ? 0 : NEW_CONNECTION_COST_MS
-	const ms = slow + reread + failing + crossing + connecting + overdueMs(target, now)
-	return { ms, expectedMs, prefillTokens: unreadTokens }
+	const crossZone = target.entry.zone === request.zone ? 0 : CROSS_ZONE_COST_MS
+	const connection = request.hasIdleConnection(target.entry.name) ? 0 : NEW_CONNECTION_COST_MS
+	const ms =
+		processing + repeatedPrefill + failures + crossZone + connection + overdueMs(target, now)
+	return { ms, expectedMs, prefillTokens }
 }
 
-/** Time by which answers of a target are overdue: it may be dark, cut off or hanging. */
+/** Time by which the most overdue first byte of a target is late, in ms: it may be down, unreachable or hung. */
 export function overdueMs(target: TargetState, now: Millis): Millis {
 	let overdue = 0
 	for (const attempt of target.openAttempts) {
@@ -89,36 +94,37 @@
 
 function prefillTokensAt(target: TargetState, request: PlacementRequest): number {
 	if (request.inputTokens === 0) return 0
-	const kept = target.prefixCache.cachedTokens(request.prefixKeys, request.parts)
-	const shared = sharedTokens(request)
-	if (target.entry.name !== request.affinityTarget || kept >= shared)
-		return request.inputTokens - kept
-	return request.inputTokens - kept - AFFINITY_CACHE_PROBABILITY * (shared - kept)
+	const cached = target.prefixCache.cachedTokens(request.prefixKeys, request.parts)
+	const sharedTotal = sharedTokens(request)
+	if (target.entry.name !== request.affinityTarget || cached >= sharedTotal)
+		return request.inputTokens - cached
+	return request.inputTokens - cached - AFFINITY_CACHE_PROBABILITY * (sharedTotal - cached)
 }
 
-/** Tokens of all parts but the last, which is the request's own. */
+/** Tokens of all prompt parts except the last, which is specific to the request. */
 function sharedTokens(request: PlacementRequest): number {
 	let tokens = 0
 	for (const part of request.parts.slice(0, -1)) tokens += part.tokens
 	return tokens
 }
 
-function sharedPrefillTokens(request: PlacementRequest, unreadTokens: number): number {
+function sharedPrefillTokens(request: PlacementRequest, prefillTokens: number): number {
 	const own = request.inputTokens - sharedTokens(request)
-	return Math.max(0, unreadTokens - own)
+	return Math.max(0, prefillTokens - own)
 }
 
-function engineMs(target: TargetState, unreadTokens: number, now: Millis): Millis {
-	const others = totalPeerWork(target, now)
-	// What other boxes said they sent there; where they say nothing, what the target told of its queue.
-	const told = decayed(target.load?.waiting ?? 0, target, now) * PREFILL_TOKENS_PER_WAITING_REQUEST
-	const ahead = ownPendingPrefillTokens(target) + Math.max(others.prefillTokens, told)
+function engineMs(target: TargetState, prefillTokens: number, now: Millis): Millis {
+	const peerWork = totalPeerWork(target, now)
+	// Uses the greater of the work that other boxes reported and the queue that the target reported.
+	const reported =
+		decayed(target.load?.waiting ?? 0, target, now) * PREFILL_TOKENS_PER_WAITING_REQUEST
+	const ahead = ownPendingPrefillTokens(target) + Math.max(peerWork.prefillTokens, reported)
 	const running = Math.max(
 		target.load?.running ?? 0,
-		target.openAttempts.size + others.openRequests,
+		target.openAttempts.size + peerWork.openRequests,
 	)
-	const reading = (unreadTokens + ahead) / PREFILL_TOKENS_PER_MS
-	return reading * (1 + SLOWDOWN_PER_RUNNING_REQUEST * running) + ENGINE_STEP_MS
+	const prefillMs = (prefillTokens + ahead) / PREFILL_TOKENS_PER_MS
+	return prefillMs * (1 + SLOWDOWN_PER_RUNNING_REQUEST * running) + ENGINE_STEP_MS
 }
 
 function ownPendingPrefillTokens(target: TargetState): number {
@@ -128,7 +134,7 @@
 	return tokens
 }
 
-/** Work that other boxes lately said they have under way at one target. */
+/** Sum of the recent work reports of other boxes for one target. */
 interface PeerWorkTotal {
 	prefillTokens: number
 	openRequests: number
@@ -144,19 +150,23 @@
 	return sum
 }
 
-/** True where the word of another box still counts. */
+/** True if a work report of another box is recent enough to count. */
 export function isPeerWorkFresh(work: PeerWork, now: Millis): boolean {
 	return now - work.receivedAt < MAX_PEER_WORK_AGE_MS
 }
 
 function plainServiceMs(target: TargetState, plainMs: Millis, now: Millis): Millis {
 	const slots = Math.max(1, target.load?.slots ?? target.entry.slots)
-	const told = decayed((target.load?.running ?? 0) + (target.load?.waiting ?? 0), target, now)
-	const ahead = Math.max(told, target.openAttempts.size + totalPeerWork(target, now).openRequests)
-	// A place that is nearly full is dearer than its queue alone says: other boxes send there too.
+	const reported = decayed((target.load?.running ?? 0) + (target.load?.waiting ?? 0), target, now)
+	const ahead = Math.max(
+		reported,
+		target.openAttempts.size + totalPeerWork(target, now).openRequests,
+	)
+	// Requests in free slots count as well: other boxes fill the remaining slots at the same time.
 	return plainMs * (1 + ahead / slots)
 }
 
+/** Halves a value of the last load report for each half-life since the report. */
 function decayed(value: number, target: TargetState, now: Millis): number {
 	if (value === 0) return 0
 	return value * 2 ** (-(now - target.loadReportedAt) / LOAD_HALF_LIFE_MS)
--- a/packages/core/src/lib/placement/retrySimulation.test.ts
+++ b/packages/core/src/lib/placement/retrySimulation.test.ts
@@ -2,7 +2,7 @@
 import { seededRandom } from '../testRandom.js'
 import { simulateRetries, type RetrySimulationOptions } from './retrySimulation.js'
 
-const FLEET: Omit<RetrySimulationOptions, 'until' | 'random'> = {
+const FLEET: Omit<RetrySimulationOptions, 'waitFor' | 'random'> = {
 	boxes: 7,
 	targets: 6,
 	perSecond: 1.4,
@@ -10,24 +10,24 @@
 	boxesPerZone: 2,
 }
 
-/** Part of the requests that are served in time, in the mean of four days. */
-function inTime(options: typeof FLEET, until: RetrySimulationOptions['until']): number {
-	const days = [1, 2, 3, 4].map((seed) =>
-		simulateRetries({ ...options, until, random: seededRandom(seed) }),
+/** Fraction of the requests that are served in time, as the mean of four runs. */
+function inTime(options: typeof FLEET, waitFor: RetrySimulationOptions['waitFor']): number {
+	const runs = [1, 2, 3, 4].map((seed) =>
+		simulateRetries({ ...options, waitFor, random: seededRandom(seed) }),
 	)
-	return days.reduce((sum, day) => sum + day.inTime, 0) / days.length
+	return runs.reduce((sum, run) => sum + run.inTime, 0) / runs.length
 }
 
-describe('callers who are refused because all targets of a service name rates', () => {
+describe('callers refused because all targets of a service have reached their rate limits', () => {
 	it.each([0.5, 0.8, 1.5])(
-		'are served in time more often where they come back for the turn of any box, at a load of %d',
+		'are served in time more often if they wait until any box may send, at a load of %d',
 		(load) => {
 			const options = { ...FLEET, load }
 			expect(inTime(options, 'any-turn')).toBeGreaterThan(inTime(options, 'own-turn') + 0.03)
 		},
 	)
 
-	it('are served as often either way where turns come soon', () => {
+	it('are served in time equally often either way if the rate limits are high', () => {
 		const options = { ...FLEET, perSecond: 10 }
 		const difference = inTime(options, 'any-turn') - inTime(options, 'own-turn')
 		expect(Math.abs(difference)).toBeLessThan(0.03)
--- a/packages/core/src/lib/placement/retrySimulation.ts
+++ b/packages/core/src/lib/placement/retrySimulation.ts
@@ -3,25 +3,25 @@
 import { FleetRateLimiter, type FleetRateLimit } from './FleetRateLimiter.js'
 import { advertisedRateLimit } from './advertisedRateLimit.js'
 
-/** What is played by {@link simulateRetries}. */
 export interface RetrySimulationOptions {
 	readonly boxes: number
-	/** Targets of one service; each names the same rate. */
+	/** Targets of one service, all with the same rate limit. */
 	readonly targets: number
+	/** Rate limit that each target advertises, in requests per second. */
 	readonly perSecond: number
-	/** Requests that arrive, as a multiple of what the targets take. */
+	/** Rate of arriving requests, as a multiple of the capacity of all targets. */
 	readonly load: number
-	/** Boxes of a zone: a caller who comes back does so on a new connection to one of them. */
+	/** Number of boxes in a zone. Callers retry at a random box of the same zone. */
 	readonly boxesPerZone: number
-	/** Callers are asked to wait for the next turn of the box that refused them, or of any. */
-	readonly until: 'own-turn' | 'any-turn'
+	/** Callers wait until the box that refused them may send again (`own-turn`), or any box may (`any-turn`). */
+	readonly waitFor: 'own-turn' | 'any-turn'
 	readonly random: () => number
 }
 
-/** What became of the requests, as parts of all. */
+/** Results as fractions of all requests. */
 export interface RetrySimulationResult {
 	readonly served: number
-	/** Served within {@link TARGET_LATENCY_MS}. */
+	/** Served within `TARGET_LATENCY_MS`. */
 	readonly inTime: number
 }
 
@@ -35,14 +35,15 @@
 const DEADLINE_MS: Millis = 6_000
 const STEP_MS: Millis = 10
 const SIMULATED_MS: Millis = 60_000
-/** What callers are asked to wait at least, and the spread over which they come back, in ms. */
+/** Minimum delay that callers are asked to wait before a retry. */
 const MIN_RETRY_DELAY_MS: Millis = 100
+/** Maximum random delay in addition. */
 const RETRY_JITTER_MS: Millis = 200
-/** Part of the time that is left which a caller waits at most. */
+/** Maximum wait before a retry, as a fraction of the time left until the deadline. */
 const MAX_WAIT_FRACTION = 1 / 3
 const SECOND_MS = 1_000
 
-/** All targets of a service name rates; callers who are refused come back once. */
+/** Simulates a service whose targets all advertise rate limits. Refused callers retry once. */
 export function simulateRetries(options: RetrySimulationOptions): RetrySimulationResult {
 	return new RetrySimulation(options).run()
 }
@@ -50,7 +51,7 @@
 class RetrySimulation {
 	private readonly limiters: readonly FleetRateLimiter[]
 	private readonly targets: readonly TargetName[]
-	private readonly rate: FleetRateLimit
+	private readonly limit: FleetRateLimit
 	private pendingRetries: { readonly at: Millis; readonly call: SimulatedCall }[] = []
 	private now: Millis = 0
 	private requests = 0
@@ -63,17 +64,17 @@
 			(self) => new FleetRateLimiter({ self, boxes: () => boxes, isSettled: () => true }),
 		)
 		this.targets = Array.from({ length: options.targets }, (_, i) => brandId<TargetName>(`t${i}`))
-		this.rate = {
-			...advertisedRateLimit({ perSecond: options.perSecond, saidAt: 0 }),
+		this.limit = {
+			...advertisedRateLimit({ perSecond: options.perSecond, reportedAt: 0 }),
 			probe: undefined,
 		}
 	}
 
 	run(): RetrySimulationResult {
 		for (; this.now < SIMULATED_MS; this.now += STEP_MS) {
-			const back = this.pendingRetries.filter(({ at }) => at <= this.now)
+			const due = this.pendingRetries.filter(({ at }) => at <= this.now)
 			this.pendingRetries = this.pendingRetries.filter(({ at }) => at > this.now)
-			for (const { call } of back) this.dispatch(call)
+			for (const { call } of due) this.dispatch(call)
 			for (let i = this.arrivals(); i > 0; i--) this.addCall()
 		}
 		return { served: this.served / this.requests, inTime: this.inTime / this.requests }
@@ -96,13 +97,13 @@
 	}
 
 	private dispatch(call: SimulatedCall): void {
-		const gate = this.limiters[call.box]
-		const target = this.targets.find((name) => gate?.canSend(name, this.rate, this.now))
+		const limiter = this.limiters[call.box]
+		const target = this.targets.find((name) => limiter?.canSend(name, this.limit, this.now))
 		if (!target) {
 			this.scheduleRetry(call)
 			return
 		}
-		gate?.consume(target, this.rate, this.now)
+		limiter?.consume(target, this.limit, this.now)
 		this.served++
 		if (this.now - call.startedAt <= TARGET_LATENCY_MS) this.inTime++
 	}
@@ -110,25 +111,25 @@
 	private scheduleRetry(call: SimulatedCall): void {
 		if (call.isRetry) return
 		const { random } = this.options
-		const pauseMs = Math.max(MIN_RETRY_DELAY_MS, this.waitMs(call.box)) + random() * RETRY_JITTER_MS
+		const delayMs = Math.max(MIN_RETRY_DELAY_MS, this.waitMs(call.box)) + random() * RETRY_JITTER_MS
 		const leftMs = DEADLINE_MS - (this.now - call.startedAt)
 		call.isRetry = true
 		call.box = this.boxInSameZone(call.box)
-		this.pendingRetries.push({ at: this.now + Math.min(pauseMs, leftMs * MAX_WAIT_FRACTION), call })
+		this.pendingRetries.push({ at: this.now + Math.min(delayMs, leftMs * MAX_WAIT_FRACTION), call })
 	}
 
 	private waitMs(box: number): Millis {
-		if (this.options.until === 'any-turn') return SECOND_MS / this.capacityPerSecond
-		const turns = this.targets.map(
-			(name) => this.limiters[box]?.nextSendAt(name, this.rate, this.now) ?? Infinity,
+		if (this.options.waitFor === 'any-turn') return SECOND_MS / this.capacityPerSecond
+		const nextSendTimes = this.targets.map(
+			(name) => this.limiters[box]?.nextSendAt(name, this.limit, this.now) ?? Infinity,
 		)
-		return Math.min(...turns) - this.now
+		return Math.min(...nextSendTimes) - this.now
 	}
 
-	/** A box of the same zone. */
+	/** A random box of the same zone. */
 	private boxInSameZone(box: number): number {
-		const { boxes, boxesPerZone: boxesOfZone, random } = this.options
-		const first = box - (box % boxesOfZone)
-		return first + Math.floor(random() * Math.min(boxesOfZone, boxes - first))
+		const { boxes, boxesPerZone, random } = this.options
+		const first = box - (box % boxesPerZone)
+		return first + Math.floor(random() * Math.min(boxesPerZone, boxes - first))
 	}
 }
--- a/packages/core/src/lib/placement/targetNoticeStatusOf.ts
+++ b/packages/core/src/lib/placement/targetNoticeStatusOf.ts
@@ -3,7 +3,7 @@
 import type { RateLimitStatus } from './RateLimitStatus.js'
 import type { TargetState } from './TargetState.js'
 
-/** What operators see of the words of a target, with the rate that it named; undefined where it said nothing that holds. */
+/** Status of a target's notices for operators; undefined if none is in effect. */
 export function targetNoticeStatusOf(
 	{ entry, notice }: TargetState,
 	rate: RateLimitStatus | undefined,
--- a/packages/core/src/lib/placement/testEntries.ts
+++ b/packages/core/src/lib/placement/testEntries.ts
@@ -5,7 +5,7 @@
 export const SERVICE = brandId<ServiceName>('engine')
 export const ZONE = brandId<ZoneName>('z1')
 
-/** An entry of the list of targets, ready unless `changes` say otherwise. */
+/** Creates an entry of a target that is ready, with `changes` applied. */
 export function entry(name: string, changes: Partial<TargetEntry> = {}): TargetEntry {
 	return {
 		name: brandId<TargetName>(name),
@@ -21,7 +21,7 @@
 	}
 }
 
-/** A request that may go to any target. */
+/** Creates a query that allows any target, with `changes` applied. */
 export function query(changes: Partial<PlacementQuery> = {}): PlacementQuery {
 	return {
 		service: SERVICE,
--- a/packages/core/src/lib/routing/TargetState.ts
+++ b/packages/core/src/lib/routing/TargetState.ts
@@ -1,30 +1,30 @@
 import type { TargetRecord } from '../bundle/Bundle.js'
 import type { Millis } from '../units.js'
 
-/** What this box knows of one target. @public */
+/** State of one target as this box knows it. @public */
 export interface TargetState {
 	record: TargetRecord
-	/** Attempts of this box that are in flight. */
+	/** Attempts of this box in flight. */
 	inFlight: number
-	/** Time since which this box sends to the target; slow start counts from here. */
+	/** When this box started to send to the target; start of its slow start. */
 	sendingSince: Millis
-	/** Last load report, and how many attempts this box has started since. */
+	/** Load in the last report of the target, in requests. */
 	reportedLoad: number
 	reportedAt: Millis
+	/** Attempts that this box has started since the last report. */
 	startedSinceReport: number
-	/** Failures in a row. */
 	consecutiveFailures: number
-	/** No work until this time. */
+	/** The target receives no requests until this time. */
 	ejectedUntil: Millis
-	/** True while one probe is out after an ejection. */
+	/** True while a probe after an ejection is in flight. */
 	isProbing: boolean
-	/** True where the bundle, the platform's list or the target itself says so. */
+	/** True if the bundle, the platform's list or the target itself marks it as leaving. */
 	leaving: boolean
-	/** Smoothed share of failed attempts, 0 to 1. */
+	/** Smoothed fraction of failed attempts, 0 to 1. */
 	failureRate: number
 }
 
-/** State of a target that this box has just heard of. @public */
+/** Initial state of a target that was added. @public */
 export function newTargetState(record: TargetRecord, now: Millis): TargetState {
 	return {
 		record,
--- a/packages/core/src/lib/routing/pickTarget.ts
+++ b/packages/core/src/lib/routing/pickTarget.ts
@@ -3,20 +3,20 @@
 import type { Millis } from '../units.js'
 import type { TargetState } from './TargetState.js'
 
-/** Parts of the choice, each of which can be switched off for a measurement. @public */
+/** Parameters of the choice of a target. @public */
 export interface PickOptions {
 	readonly policy: 'power-of-two' | 'least-load' | 'random' | 'round-robin'
-	/** Age at which a load report counts for nothing, in ms. */
+	/** Age from which a load report is ignored, in ms. */
 	readonly reportLifeMs: Millis
-	/** Time over which a new target is given its full share, in ms. */
+	/** Time until a new target receives its full share of requests, in ms. */
 	readonly slowStartMs: Millis
-	/** How much load, in requests, a likely prefix hit is worth. */
+	/** Load, in requests, by which a likely prefix cache hit lowers the score. */
 	readonly prefixBonus: number
-	/** How much load, in requests, a failure share of 1 costs. */
+	/** Load, in requests, that a failure rate of 1 adds to the score. */
 	readonly failureCost: number
 }
 
-/** Options in force; `docs/design/routing.md` has the figures. @public */
+/** See `docs/design/routing.md` for measurements. @public */
 export const DEFAULT_PICK_OPTIONS: PickOptions = {
 	policy: 'power-of-two',
 	reportLifeMs: 5_000,
@@ -25,45 +25,49 @@
 	failureCost: 32,
 }
 
-/** What a choice is made from. @public */
+/** Inputs of the choice of a target. @public */
 export interface PickInput {
-	/** Hash of the leading part of the prompt. */
+	/** Hash of the prompt prefix. */
 	readonly prefix: string | undefined
 	readonly now: Millis
 	readonly random: RandomSource
 	readonly options: PickOptions
 }
 
-/** A choice and the scores behind it. @public */
+/** The chosen target and the scores of the candidates. @public */
 export interface PickResult {
 	readonly state: TargetState
 	readonly score: number
-	/** `<target>=<score>` of each candidate that was compared. */
+	/** `<target>=<score>` for each candidate. */
 	readonly considered: readonly string[]
 }
 
+/** Share of its full traffic with which a new target starts. */
 const MIN_SLOW_START_SHARE = 0.1
 
-/** Expected load of a target: own attempts, and the aged report with own sends since. Lower wins. */
+/**
+ * Expected load of a target relative to its concurrency, from the attempts of this box and the last load report, weighted
+ * by its age. The lowest score wins.
+ */
 export function scoreTarget(state: TargetState, input: PickInput): number {
 	const { options, now } = input
 	const age = now - state.reportedAt
 	const weight = Math.max(0, 1 - age / options.reportLifeMs)
 	const reported = (state.reportedLoad + state.startedSinceReport) * weight
 	const load = Math.max(state.inFlight, reported) / state.record.concurrency
-	const warm = Math.min(
+	const rampUp = Math.min(
 		1,
 		MIN_SLOW_START_SHARE + (now - state.sendingSince) / Math.max(1, options.slowStartMs),
 	)
-	const cold = ((1 - warm) * state.inFlight) / state.record.concurrency
-	const failing = (state.failureRate * options.failureCost) / state.record.concurrency
-	return load + cold + failing
+	const slowStartLoad = ((1 - rampUp) * state.inFlight) / state.record.concurrency
+	const failureLoad = (state.failureRate * options.failureCost) / state.record.concurrency
+	return load + slowStartLoad + failureLoad
 }
 
 /**
- * Chooses among open targets. The default compares two at random, so that many boxes with the same
- * stale report do not all choose the same target. The target that a prefix hashes to is one of the
- * two, and has a bonus: a hint, no map of the caches is kept.
+ * Chooses one of the available targets. The default policy compares two random ones, so that boxes with the same stale
+ * load report do not all choose the same target. The target to which the prompt prefix hashes is one of the two and
+ * gets a bonus for its likely prefix cache hit.
  * @public
  */
 export function pickTarget(
@@ -71,11 +75,11 @@
 	input: PickInput,
 ): PickResult | undefined {
 	if (states.length === 0) return undefined
-	const pair = selectCandidates(states, input)
+	const compared = selectCandidates(states, input)
 	const preferred = input.prefix === undefined ? undefined : affinityTarget(states, input.prefix)
 	let best: { state: TargetState; score: number } | undefined
 	const considered: string[] = []
-	for (const state of pair) {
+	for (const state of compared) {
 		const bonus = state === preferred ? input.options.prefixBonus / state.record.concurrency : 0
 		const score = scoreTarget(state, input) - bonus
 		considered.push(`${state.record.name}=${score.toFixed(3)}`)
@@ -100,10 +104,12 @@
 	return preferred && preferred !== one ? [preferred, one] : [one, two]
 }
 
+/** Target with the fewest attempts of this box since its last load report. */
 function leastUsed(states: readonly TargetState[]): TargetState {
 	return states.reduce((a, b) => (b.startedSinceReport < a.startedSinceReport ? b : a))
 }
 
+/** Target with the highest hash for the prefix; the same on all boxes. */
 function affinityTarget(states: readonly TargetState[], prefix: string): TargetState | undefined {
 	let best: TargetState | undefined
 	let bestHash = -1
--- a/packages/core/src/lib/stream/EventSplitter.test.ts
+++ b/packages/core/src/lib/stream/EventSplitter.test.ts
@@ -3,7 +3,7 @@
 import { EventSplitter } from './EventSplitter.js'
 
 describe('EventSplitter', () => {
-	it('gives whole events only, with their numbers', () => {
+	it('returns only complete events, with their ids', () => {
 		const splitter = new EventSplitter()
 		expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).toEqual([])
 		expect(splitter.hasPartialEvent).toBe(true)
@@ -12,16 +12,16 @@
 		expect(splitter.hasPartialEvent).toBe(true)
 	})
 
-	it('gives the same bytes however they are cut', () => {
+	it('returns the same events however the bytes are split into chunks', () => {
 		const text = 'id: 1\ndata: a\n\ndata: no number\n\nid: 3\ndata: ü\n\n'
-		const whole = Buffer.from(text)
+		const bytes = Buffer.from(text)
 		fc.assert(
-			fc.property(fc.array(fc.nat({ max: whole.length }), { maxLength: 8 }), (cuts) => {
+			fc.property(fc.array(fc.nat({ max: bytes.length }), { maxLength: 8 }), (offsets) => {
 				const splitter = new EventSplitter()
-				const edges = [0, ...cuts.sort((a, b) => a - b), whole.length]
-				const events = edges
+				const boundaries = [0, ...offsets.sort((a, b) => a - b), bytes.length]
+				const events = boundaries
 					.slice(1)
-					.flatMap((end, i) => splitter.push(whole.subarray(edges[i], end)))
+					.flatMap((end, i) => splitter.push(bytes.subarray(boundaries[i], end)))
 				expect(Buffer.concat(events.map((event) => event.bytes)).toString()).toBe(text)
 				expect(events.map((event) => event.id)).toEqual([1, undefined, 3])
 				expect(splitter.hasPartialEvent).toBe(false)
--- a/packages/core/src/lib/stream/EventSplitter.ts
+++ b/packages/core/src/lib/stream/EventSplitter.ts
@@ -1,7 +1,7 @@
-/** One whole event of a stream, with the bytes as they came. @public */
+/** A complete event of an event stream with its original bytes. @public */
 export interface StreamEvent {
 	readonly bytes: Buffer
-	/** Number of the event; undefined where it has none. */
+	/** Value of the `id` field; undefined if the field is missing or not an integer. */
 	readonly id: number | undefined
 }
 
@@ -9,15 +9,16 @@
 const ID_FIELD = 'id:'
 const EMPTY = Buffer.alloc(0)
 
-/** Splits the bytes of a `text/event-stream` into whole events, each with its closing blank line. @public */
+/** Splits the bytes of a `text/event-stream` into complete events, each with its closing blank line. @public */
 export class EventSplitter {
 	private partialEvent: Buffer = EMPTY
 
-	/** True while bytes of an unfinished event are held. */
+	/** True while bytes of an incomplete event are buffered. */
 	get hasPartialEvent(): boolean {
 		return this.partialEvent.length > 0
 	}
 
+	/** Adds a chunk and returns the events that it completes. */
 	push(chunk: Buffer): StreamEvent[] {
 		const bytes = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk])
 		const events: StreamEvent[] = []
@@ -33,7 +34,7 @@
 	}
 }
 
-/** Index after the blank line that closes the event at `start`, or -1. Lines may end in CR LF. */
+/** Index after the blank line that ends the event at `start`; -1 if the event is incomplete. Supports LF and CRLF. */
 function endOfEvent(bytes: Buffer, start: number): number {
 	for (let at = bytes.indexOf(LINE_FEED, start); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
 		const next = bytes[at + 1] === 0x0d ? at + 2 : at + 1
