--- a/packages/core/src/lib/placement/AttemptHandle.ts
+++ b/packages/core/src/lib/placement/AttemptHandle.ts
@@ -12,7 +12,7 @@
 	maySend(now: Millis): boolean
 	/** Records that bytes of the response arrived. */
 	noteByte(now: Millis): void
-	/** Records for how much longer the target is cold, as it reported. */
+	/** Records the remaining cold phase that the target reported. */
 	noteCold(coldMs: Millis, now: Millis): void
 	noteLoad(load: TargetLoad, now: Millis): void
 	/** Records that the target announced that it is leaving. True if this was not known yet. */
--- a/packages/core/src/lib/placement/RestoredTargetFilter.ts
+++ b/packages/core/src/lib/placement/RestoredTargetFilter.ts
@@ -32,7 +32,7 @@
 	/** True if the last list contained entries that were left out. */
 	private hasStaleEntries = false
 
-	/** True if the last list has to be applied again because the window for stale entries has removal. */
+	/** True if the last list has to be applied again because the window for stale entries is over. */
 	isDue(now: Millis): boolean {
 		return this.hasStaleEntries && now >= this.eraStartedAt + STALE_ENTRY_WINDOW_MS
 	}
--- a/packages/core/src/lib/placement/TargetAdmission.ts
+++ b/packages/core/src/lib/placement/TargetAdmission.ts
@@ -41,7 +41,6 @@
 
 const SECOND_MS = 1_000
 
-/** What a {@link TargetAdmission} works with. */
 export interface AdmissionOptions {
 	/** Undefined: neither the limits for cold targets nor advertised limits are enforced. */
 	readonly rateLimits?: TargetRateLimitsOptions
--- a/packages/core/src/lib/placement/TargetNotices.test.ts
+++ b/packages/core/src/lib/placement/TargetNotices.test.ts
@@ -184,7 +184,7 @@
 		const first = startAttempt(registry, 'a', 1_500)
 		expect(chosen(registry, 1_510)).toBeUndefined()
 		expect(registry.closedCause(SERVICE, 1_510)).toEqual({ cause: 'backoff', opensInMs: 0 })
-		// The attempt itself must not count as the one that blocks sending.
+		// The attempt is in flight itself, but must not prevent its own request from being sent.
 		expect(first.maySend(1_510)).toBe(true)
 		first.noteByte(1_520)
 		startAttempt(registry, 'a', 1_520)
--- a/packages/core/src/lib/placement/TargetState.ts
+++ b/packages/core/src/lib/placement/TargetState.ts
@@ -54,9 +54,9 @@
 	readonly peerWork = new Map<BoxName, PeerWork>()
 	/** Smoothed ratio of the measured to the expected time to first byte. */
 	slowdown = 1
-	/** End of the cold period that the target last reported. */
+	/** End of the cold phase that the target last reported. */
 	private reportedColdUntil: Millis
-	/** End of the cold period assumed after a cordon of its zone was lifted. */
+	/** End of the cold phase assumed after a cordon of its zone was lifted. */
 	private assumedColdUntil: Millis = Number.NEGATIVE_INFINITY
 	private lastFailureRate = 0
 	private failureUpdatedAt: Millis = 0
@@ -77,18 +77,18 @@
 		return false
 	}
 
-	/** True if the list or the target itself says that it is leaving. An older list entry does not revoke its notice. */
+	/** True if the list or the target itself marks it as leaving. No list entry revokes the target's own notice. */
 	get leaving(): boolean {
 		return this.entry.leaving || this.notice.leavingSince !== undefined
 	}
 
-	/** Applies an entry. The cold period counts from now only if the revision is new, so that re-reading does not extend it. */
+	/** Applies an entry. Only an entry with a newer revision restarts the cold phase, so re-reading does not extend it. */
 	noteEntry(entry: TargetEntry, now: Millis): void {
 		if (isNewerRevision(entry.revision, this.entry.revision)) this.noteCold(entry.coldMs, now)
 		this.entry = entry
 	}
 
-	/** Records for how much longer the target is cold, as it reported. */
+	/** Records the remaining cold phase that the target reported. */
 	noteCold(coldMs: Millis, now: Millis): void {
 		this.reportedColdUntil = now + coldMs
 	}
--- a/packages/core/src/lib/placement/advertisedRateLimit.ts
+++ b/packages/core/src/lib/placement/advertisedRateLimit.ts
@@ -2,12 +2,11 @@
 import type { FleetRateLimit, RateAllocation } from './FleetRateLimiter.js'
 import type { AdvertisedRate } from './TargetNotices.js'
 
-/**
- * Requests that the fleet may send by accident to an overloaded target in any window of `WINDOW_S` seconds: a multiple of
- * the advertised rate plus a constant.
- */
+/** Window, in seconds, in which the fleet may exceed an advertised rate by accident. */
 const WINDOW_S = 4
+/** Maximum number of requests in a window, as a multiple of the advertised rate. */
 const MAX_OVERRUN_FACTOR = 1.5
+/** Requests allowed in a window in addition to that multiple. */
 const MAX_OVERRUN_REQUESTS = 5
 /** Boxes that may send by mistake while the boxes' membership lists differ, which can last some seconds. */
 const MAX_EXTRA_SENDERS = 1
--- a/packages/core/src/lib/placement/fleetRateSimulation.ts
+++ b/packages/core/src/lib/placement/fleetRateSimulation.ts
@@ -17,7 +17,7 @@
 	readonly downBoxes: number
 	/** When a quarter of the boxes restarts with new buckets; 0 if none does. */
 	readonly restartsAt: Millis
-	/** When requests start to arrive. All buckets fill up to their capacity before. */
+	/** When requests start to arrive. Until then the buckets fill up. */
 	readonly demandStartsAt: Millis
 }
 
--- a/packages/core/src/lib/routing/pickTarget.ts
+++ b/packages/core/src/lib/routing/pickTarget.ts
@@ -46,8 +46,8 @@
 const MIN_SLOW_START_SHARE = 0.1
 
 /**
- * Expected load of a target relative to its concurrency, from the attempts of this box and the last load report, weighted
- * by its age. The lowest score wins.
+ * Expected load of a target relative to its concurrency, from the attempts of this box and the last load report, which
+ * counts less with increasing age. The lowest score wins.
  */
 export function scoreTarget(state: TargetState, input: PickInput): number {
 	const { options, now } = input
