--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Front end for opaque requests: sockets and timers around the decisions of the core. */
+/** The gateway of a box: serves callers and applies the decisions of `@stallwing/core`. */
 export { type QuarantineStatus } from './lib/CrashProtection.js'
 export { describeError } from './lib/describeError.js'
 export { type Dialect, type HeaderNames, type MalformedRequest } from './lib/Dialect.js'
--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -27,18 +27,18 @@
 } from './sendToTarget.js'
 import { applyTargetNotice } from './applyTargetNotice.js'
 
-/** How an attempt ended, with what may be passed on. */
+/** How an attempt ended, with the response if it may be forwarded. */
 export interface AttemptEnd {
 	readonly outcome: AttemptResult
 	readonly cause: string
 	readonly status: number
-	/** The other side closed the connection in the middle. */
+	/** The target closed the connection before the response was complete. */
 	readonly closedByTarget: boolean
-	/** A whole answer that has not been passed on yet. */
+	/** A complete response that has not been forwarded yet. */
 	readonly completeResponse: { readonly head: ResponseHead; readonly body: Buffer } | undefined
 }
 
-/** How long an attempt may stay silent before another target is asked. */
+/** Limits on the silence of a target, after which the request is retried at another one. */
 interface ResponseTimeouts {
 	readonly firstByteMs: number
 	readonly idleMs: number
@@ -49,16 +49,16 @@
 const MIN_FIRST_BYTE_TIMEOUT_MS = 150
 const MIN_STREAM_FIRST_BYTE_TIMEOUT_MS = 800
 const IDLE_TIMEOUT_MS = 1_000
-/** Multiple of the expected time after which an answer is overdue. */
+/** Multiple of the expected latency that a target gets until its first byte. */
 const FIRST_BYTE_TIMEOUT_FACTOR = 6
 
-/** One request at one target. */
+/** One attempt to serve a request at one target. */
 export class Attempt implements ResponseListener {
 	private call: TargetCall | undefined
 	private handle: AttemptHandle | undefined
 	private resolve: ((end: AttemptEnd) => void) | undefined
 	private responseHead: ResponseHead | undefined
-	/** What the answer says of its target; undefined where none came. */
+	/** What the response head reports about the target; undefined until a head arrives. */
 	private notice: TargetNotice | undefined
 	private splitter: EventSplitter | undefined
 	private chunks: Buffer[] = []
@@ -66,9 +66,8 @@
 	private timeout: NodeJS.Timeout | undefined
 	private startedAt = 0
 	private firstByteMs = -1
-	/** This box broke the answer off. */
+	/** Whether this box, not the target, aborted the response. */
 	private isAborted = false
-	/** Bytes of the request may have left this box. */
 	private mayHaveSentBytes = false
 	private hasEnded = false
 
@@ -77,14 +76,16 @@
 		private readonly request: CallerRequest,
 		private readonly placement: Placement,
 		private readonly responseWriter: ResponseWriter,
-		/** Another target may be asked when this one stays silent. */
+		/** The request may be retried at another target if this one is silent for too long. */
 		private readonly mayRetryElsewhere: boolean,
 		private readonly content: RequestContent,
-		/** True where the caller left, looked up after a wait of so many ms. */
+		/**
+		 * True if the caller has disconnected; the argument is how long the request waited for a connection, in ms.
+		 */
 		private readonly hasCallerDisconnected: (waitedMs: number) => Promise<boolean>,
 	) {}
 
-	/** Sends the request and passes on the events of its answer. Never rejects. */
+	/** Sends the request and forwards the events of its response. Never rejects. */
 	run(message: TargetRequest): Promise<AttemptEnd> {
 		this.startedAt = this.context.now()
 		this.handle = this.context.registry.beginAttempt(
@@ -99,18 +100,22 @@
 		})
 	}
 
-	/** Closes the connection: the caller left, or the time is over. `run` stays open. */
+	/**
+	 * Closes the connection when the caller has disconnected or the time limit is reached. The promise of `run` then
+	 * stays pending.
+	 */
 	cancel(): void {
 		if (this.hasEnded) return
-		const overdue =
+		const isOverdue =
 			this.responseHead === undefined && this.elapsedMs() > this.timeouts().firstByteMs
-		if (overdue) this.closeIdleConnections()
-		this.release(overdue ? 'failed' : 'cancelled')
+		if (isOverdue) this.closeIdleConnections()
+		this.release(isOverdue ? 'failed' : 'cancelled')
 		this.call?.abort()
 	}
 
 	/**
-	 * What has changed while a connection was made counts: a caller that left, an operator's word, a target that leaves.
+	 * Checks again after connecting: meanwhile the caller may have disconnected, or an operator or the target itself
+	 * may have stopped new work.
 	 */
 	async maySend(): Promise<boolean> {
 		if (await this.hasCallerDisconnected(this.elapsedMs())) return false
@@ -119,15 +124,15 @@
 	}
 
 	onHead(head: ResponseHead): boolean {
-		const { context, handle, placement: place, request } = this
+		const { context, handle, placement, request } = this
 		const now = context.now()
 		if (!this.isResponseToThisRequest(head)) return false
 		handle?.noteByte(now)
 		this.firstByteMs = now - this.startedAt
 		this.responseHead = head
 		this.notice = readTargetNotice(head, context.dialect)
-		context.unknownHeaders.inspect(head, place.target)
-		if (handle) applyTargetNotice(context, { handle, place, request }, this.notice)
+		context.unknownHeaders.inspect(head, placement.target)
+		if (handle) applyTargetNotice(context, { handle, placement, request }, this.notice)
 		if (isSuccess(head.status) && isEventStream(head)) this.startStream(head)
 		this.startTimeout(this.timeouts().idleMs)
 		return true
@@ -182,18 +187,18 @@
 
 	private endWithCompleteResponse(head: ResponseHead, body: Buffer): void {
 		const { dialect } = this.context
-		const wrongTarget = head.status === dialect.wrongTargetStatus
-		if (wrongTarget || head.headers[dialect.headers.notRun] !== undefined) {
-			const verdict = wrongTarget ? 'unreachable' : 'full'
-			this.end(verdict, { kind: 'rejected' }, `status ${head.status}`, undefined)
+		const isWrongTarget = head.status === dialect.wrongTargetStatus
+		if (isWrongTarget || head.headers[dialect.headers.notRun] !== undefined) {
+			const targetOutcome = isWrongTarget ? 'unreachable' : 'full'
+			this.end(targetOutcome, { kind: 'rejected' }, `status ${head.status}`, undefined)
 			return
 		}
 		const failed = head.status >= 500
-		const verdict = failed ? 'failed' : 'good'
-		this.end(verdict, { kind: 'answered', failed }, `status ${head.status}`, { head, body })
+		const targetOutcome = failed ? 'failed' : 'good'
+		this.end(targetOutcome, { kind: 'answered', failed }, `status ${head.status}`, { head, body })
 	}
 
-	/** True where the answer is one of this target to this request. */
+	/** True if the response belongs to this request and, for a success, comes from a target. */
 	private isResponseToThisRequest(head: ResponseHead): boolean {
 		const { requestId, mark } = this.context.dialect.headers
 		const id = head.headers[requestId]
@@ -207,16 +212,16 @@
 	}
 
 	private forwardEvents(splitter: EventSplitter, chunk: Buffer): void {
-		let roomy = true
+		let isWritable = true
 		for (const event of splitter.push(chunk)) {
-			const last = this.responseWriter.lastEventId
-			if (event.id !== undefined && last !== undefined && event.id <= last) {
-				this.abort(`event ${event.id} after ${last}`)
+			const lastEventId = this.responseWriter.lastEventId
+			if (event.id !== undefined && lastEventId !== undefined && event.id <= lastEventId) {
+				this.abort(`event ${event.id} after ${lastEventId}`)
 				return
 			}
-			roomy = this.responseWriter.sendEvent(event)
+			isWritable = this.responseWriter.sendEvent(event)
 		}
-		if (roomy) return
+		if (isWritable) return
 		this.call?.pause()
 		this.responseWriter.onDrain(() => this.call?.resume())
 	}
@@ -238,29 +243,32 @@
 		this.abort('silent')
 	}
 
-	/** Connections that were open for long may go silent together, while new ones work. */
+	/** A network fault may have cut all idle connections at once, while new ones work. */
 	private closeIdleConnections(): void {
 		this.context.poolFor(this.placement.target).closeIdle()
 	}
 
 	private timeouts(): ResponseTimeouts {
-		const overdue = FIRST_BYTE_TIMEOUT_FACTOR * this.placement.cost.expectedMs
+		const overdueMs = FIRST_BYTE_TIMEOUT_FACTOR * this.placement.cost.expectedMs
 		if (this.request.route.kind !== 'stream')
-			return { firstByteMs: Math.max(MIN_FIRST_BYTE_TIMEOUT_MS, overdue), idleMs: IDLE_TIMEOUT_MS }
+			return {
+				firstByteMs: Math.max(MIN_FIRST_BYTE_TIMEOUT_MS, overdueMs),
+				idleMs: IDLE_TIMEOUT_MS,
+			}
 		return {
-			firstByteMs: Math.max(MIN_STREAM_FIRST_BYTE_TIMEOUT_MS, overdue),
+			firstByteMs: Math.max(MIN_STREAM_FIRST_BYTE_TIMEOUT_MS, overdueMs),
 			idleMs: IDLE_TIMEOUT_MS,
 		}
 	}
 
 	private end(
-		verdict: TargetOutcome,
+		targetOutcome: TargetOutcome,
 		outcome: AttemptResult,
 		cause: string,
-		whole: AttemptEnd['completeResponse'],
+		completeResponse: AttemptEnd['completeResponse'],
 	): void {
 		if (this.hasEnded) return
-		this.release(verdict)
+		this.release(targetOutcome)
 		this.context.metrics.count('stallwing_attempts_total', `outcome="${outcome.kind}"`)
 		this.context.log({
 			name: 'attempt-ended',
@@ -279,21 +287,21 @@
 				saidRate: this.notice ? describeRate(this.notice.rate) : '',
 			},
 		})
-		const wasClosed = outcome.kind === 'unknown' && !this.isAborted
+		const closedByTarget = outcome.kind === 'unknown' && !this.isAborted
 		this.resolve?.({
 			outcome,
 			cause,
 			status: this.responseHead?.status ?? 0,
-			closedByTarget: wasClosed,
-			completeResponse: whole,
+			closedByTarget,
+			completeResponse,
 		})
 	}
 
-	private release(verdict: TargetOutcome): void {
+	private release(targetOutcome: TargetOutcome): void {
 		this.hasEnded = true
 		clearTimeout(this.timeout)
 		if (!this.mayHaveSentBytes) this.handle?.noteUnsent()
-		this.handle?.end(verdict, this.context.now())
+		this.handle?.end(targetOutcome, this.context.now())
 	}
 
 	private elapsedMs(): number {
--- a/packages/gateway/src/lib/CallerRequest.ts
+++ b/packages/gateway/src/lib/CallerRequest.ts
@@ -10,7 +10,7 @@
 import type { Dialect } from './Dialect.js'
 import type { RefusalKind } from './Refusal.js'
 
-/** A request that may be sent to a target, before its body has been read. */
+/** A valid request of a caller, before its body is read. */
 export interface CallerRequest {
 	readonly id: string
 	readonly method: string
@@ -19,29 +19,28 @@
 	readonly service: ServiceName
 	readonly account: Account | undefined
 	readonly work: DeclaredWork | undefined
-	/** Rank for the target; 0 is the most urgent. */
+	/** Priority at the target; 0 is the most urgent. */
 	readonly rank: number
-	/** How long the caller waits from the arrival of the request; undefined where it does not say. */
+	/** Time that the caller waits from the arrival of the request, in ms; undefined if not stated. */
 	readonly deadlineMs: number | undefined
-	/** The last event that the caller has of an earlier answer; undefined where it asks for all. */
-	readonly lastEvent: string | undefined
-	/** Headers to pass on: names and values in turn. */
+	/** Id of the last event that the caller has already received; undefined to request the whole stream. */
+	readonly lastEventId: string | undefined
+	/** Headers to forward: names and values alternate. */
 	readonly headers: readonly string[]
 }
 
-/** True where the request may run more than once. */
+/** True if the request may run more than once. */
 export function isRepeatable(request: CallerRequest): boolean {
 	const { kind, resumable } = request.route
 	return kind === 'repeatable' || (kind === 'stream' && resumable)
 }
 
-/** Why a request is refused before its body is read. */
 export interface Rejection {
 	readonly kind: RefusalKind
 	readonly detail: string
 }
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which apply to a single connection and are not forwarded. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
@@ -58,7 +57,7 @@
 const MAX_REQUEST_ID_CHARS = 200
 const WHOLE_NUMBER = /^\d{1,12}$/
 
-/** Checks a request against the configuration in force. */
+/** Validates the head of a request against the active configuration. */
 export function readCallerRequest(
 	message: IncomingMessage,
 	traffic: TrafficIndex,
@@ -96,7 +95,7 @@
 		work: work.right,
 		rank: Math.min(dialect.leastUrgentRank, traffic.rankOf(route, account)),
 		deadlineMs: deadline === undefined ? undefined : Number(deadline),
-		lastEvent: single(names.lastEvent),
+		lastEventId: single(names.lastEvent),
 		headers: headersToForward(message, dialect),
 	})
 }
@@ -105,7 +104,7 @@
 	return E.left({ kind, detail })
 }
 
-/** How often each header occurs, by lower-case name. */
+/** Occurrences of each header, by lower-case name. */
 function countHeaders(message: IncomingMessage): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>()
 	for (let i = 0; i < message.rawHeaders.length; i += 2) {
@@ -142,29 +141,32 @@
 }
 
 function headersToForward(message: IncomingMessage, dialect: Dialect): string[] {
-	const listed = String(message.headers.connection ?? '')
+	const connectionOptions = String(message.headers.connection ?? '')
 		.toLowerCase()
 		.split(',')
 		.map((name) => name.trim())
 	return filterHeaders(
 		message.rawHeaders,
-		(name) => !dialect.reservedHeaders.has(name) && !listed.includes(name),
+		(name) => !dialect.reservedHeaders.has(name) && !connectionOptions.includes(name),
 	)
 }
 
-/** Headers of an answer that may be passed on: names and values in turn. */
+/** Headers of a response to forward to the caller: names and values alternate. */
 export function responseHeadersToForward(rawHeaders: readonly string[]): string[] {
 	return filterHeaders(rawHeaders, () => true)
 }
 
-/** Headers that do not concern one connection or frame a body, and that `keeps` (lower case) lets by. */
-function filterHeaders(rawHeaders: readonly string[], keeps: (name: string) => boolean): string[] {
-	const passed: string[] = []
+/** Drops hop-by-hop headers, the content length, and headers whose lower-case name `isForwarded` rejects. */
+function filterHeaders(
+	rawHeaders: readonly string[],
+	isForwarded: (name: string) => boolean,
+): string[] {
+	const forwarded: string[] = []
 	for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
 		const name = rawHeaders[i] ?? ''
 		const lower = name.toLowerCase()
-		if (HOP_BY_HOP_HEADERS.has(lower) || lower === 'content-length' || !keeps(lower)) continue
-		passed.push(name, rawHeaders[i + 1] ?? '')
+		if (HOP_BY_HOP_HEADERS.has(lower) || lower === 'content-length' || !isForwarded(lower)) continue
+		forwarded.push(name, rawHeaders[i + 1] ?? '')
 	}
-	return passed
+	return forwarded
 }
--- a/packages/gateway/src/lib/ConnectionPool.ts
+++ b/packages/gateway/src/lib/ConnectionPool.ts
@@ -1,15 +1,15 @@
 import { connect, type Socket } from 'node:net'
 import { parseAddress } from './parseAddress.js'
 
-/** Times of a {@link ConnectionPool}, in ms. */
+/** Timeouts of a {@link ConnectionPool}, in ms. */
 export interface PoolTimeouts {
-	readonly connectMs: number
-	/** Rest of a connection after an answer before it is used again: a late extra answer shows then. */
-	readonly settleMs: number
-	/** Idle time after which a connection is closed where the target told none. */
-	readonly idleMs: number
-	/** Time by which a connection is left before the idle time that the target told. */
-	readonly idleMarginMs: number
+	readonly connectTimeoutMs: number
+	/** Time after a response before its connection is reused, so that unexpected extra bytes are detected first. */
+	readonly reuseDelayMs: number
+	/** Time after which an idle connection is closed if the target sends no keep-alive timeout. */
+	readonly defaultIdleTimeoutMs: number
+	/** Margin by which a connection is closed before the keep-alive timeout of the target. */
+	readonly idleTimeoutMarginMs: number
 }
 
 interface IdleConnection {
@@ -19,12 +19,12 @@
 	readonly discard: () => void
 }
 
-/** What became of a connection that was asked for; `refused`: no process listens there. */
+/** Result of a connection attempt; `refused` means that no process listens at the address. */
 export type ProbeResult = 'accepted' | 'refused' | 'no-answer'
 
 const SECOND_MS = 1_000
 
-/** Connections of this box to one target. A connection serves one request at a time. */
+/** Connections of this box to one target. Each serves one request at a time. */
 export class ConnectionPool {
 	private idle: IdleConnection[] = []
 	private openCount = 0
@@ -37,7 +37,7 @@
 		private readonly onOpened: () => void,
 	) {}
 
-	/** Connections in use or idle. */
+	/** Open connections, in use or idle. */
 	get size(): number {
 		return this.openCount
 	}
@@ -46,12 +46,12 @@
 		return this.idle.length
 	}
 
-	/** A connection that has rested long enough, or a new one. Rejects where none can be made. */
+	/** Returns an idle connection or opens a new one. Rejects if connecting fails. */
 	async acquire(): Promise<Socket> {
 		return this.takeIdle() ?? (await this.connect())
 	}
 
-	/** Asks for a connection, to see whether the target is there. One that it accepts is kept. */
+	/** Connects to check whether the target is reachable. A successful connection joins the pool. */
 	async probe(): Promise<ProbeResult> {
 		try {
 			this.release(await this.connect(), undefined)
@@ -62,13 +62,16 @@
 		}
 	}
 
-	/** Takes a connection back after a whole answer. `idleTold` is what the target told, in s. */
-	release(socket: Socket, idleTold: number | undefined): void {
-		const idleMs =
-			idleTold === undefined
-				? this.timeouts.idleMs
-				: idleTold * SECOND_MS - this.timeouts.idleMarginMs
-		if (this.isClosed || socket.destroyed || idleMs <= 0) {
+	/**
+	 * Returns a connection to the pool after a complete response. `keepAliveSeconds` is the keep-alive timeout that
+	 * the target sent.
+	 */
+	release(socket: Socket, keepAliveSeconds: number | undefined): void {
+		const idleTimeoutMs =
+			keepAliveSeconds === undefined
+				? this.timeouts.defaultIdleTimeoutMs
+				: keepAliveSeconds * SECOND_MS - this.timeouts.idleTimeoutMarginMs
+		if (this.isClosed || socket.destroyed || idleTimeoutMs <= 0) {
 			socket.destroy()
 			return
 		}
@@ -79,24 +82,24 @@
 		socket.on('data', drop)
 		socket.on('end', drop)
 		const now = this.now()
-		this.idle.push({ socket, idleSince: now, expiresAt: now + idleMs, discard: drop })
+		this.idle.push({ socket, idleSince: now, expiresAt: now + idleTimeoutMs, discard: drop })
 	}
 
-	/** Closes idle connections whose time is over. */
+	/** Closes idle connections that have expired. */
 	closeExpired(): void {
 		const now = this.now()
-		const [kept, over] = partition(this.idle, (entry) => entry.expiresAt > now)
+		const [kept, expired] = partition(this.idle, (entry) => entry.expiresAt > now)
 		this.idle = kept
-		for (const entry of over) entry.socket.destroy()
+		for (const entry of expired) entry.socket.destroy()
 	}
 
-	/** Closes idle connections: one of this pool stayed silent, and the others may have gone silent with it. */
+	/** Closes all idle connections, for instance when one of the pool has stopped responding. */
 	closeIdle(): void {
 		for (const entry of this.idle) entry.socket.destroy()
 		this.idle = []
 	}
 
-	/** Closes idle connections; those in use close when they are released. */
+	/** Closes idle connections now, and those in use when they are released. */
 	close(): void {
 		this.isClosed = true
 		this.closeIdle()
@@ -107,7 +110,7 @@
 		const now = this.now()
 		for (let i = this.idle.length - 1; i >= 0; i--) {
 			const entry = this.idle[i]
-			if (!entry || now - entry.idleSince < this.timeouts.settleMs) continue
+			if (!entry || now - entry.idleSince < this.timeouts.reuseDelayMs) continue
 			this.idle.splice(i, 1)
 			entry.socket.off('data', entry.discard)
 			entry.socket.off('end', entry.discard)
@@ -127,7 +130,10 @@
 				socket.destroy()
 				reject(error)
 			}
-			const timer = setTimeout(() => fail(new Error('connect timed out')), this.timeouts.connectMs)
+			const timer = setTimeout(
+				() => fail(new Error('connect timed out')),
+				this.timeouts.connectTimeoutMs,
+			)
 			socket.once('error', fail)
 			socket.once('connect', () => {
 				clearTimeout(timer)
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -2,63 +2,66 @@
 import type { Either } from 'fp-ts/lib/Either.js'
 import type { RefusalKind } from './Refusal.js'
 
-/** Why a request can't be understood. */
+/** Why a request cannot be parsed. */
 export interface MalformedRequest {
 	readonly kind: 'malformed'
 	readonly what: string
 }
 
-/** Names of headers, all in lower case. */
+/** Names of the headers, in lower case. */
 export interface HeaderNames {
-	/** Identifies one try of a caller; a target sends it back. */
+	/** Identifies one attempt of a caller; the target returns it in the response. */
 	readonly requestId: string
-	/** How long the caller, or what is left for a target, will wait, in ms. */
+	/** Time that the caller waits, or the remaining time in a request to a target, in ms. */
 	readonly deadline: string
-	/** The account that a request is charged to, for the target. */
+	/** Sent to the target: the account that the request is charged to. */
 	readonly account: string
-	/** The only target that may run the request. */
+	/** Sent to the target: the only target that may run the request. */
 	readonly expectedTarget: string
-	/** Rank of the request, for the target; 0 is the most urgent. */
+	/** Sent to the target: priority of the request; 0 is the most urgent. */
 	readonly rank: string
-	/** The last event that arrived, where a stream is taken up again. */
+	/** Id of the last event received, to resume a stream. */
 	readonly lastEvent: string
-	/** On an answer: the mark of the target; an answer that succeeded without it is none of a target. */
+	/** In a response: marks it as sent by a target. A success without this header is not a response of a target. */
 	readonly mark: string
-	/** On an answer: the target did not run the request. */
+	/** In a response: the target did not run the request. */
 	readonly notRun: string
-	/** On an answer: the load of the target. */
+	/** In a response: the load of the target. */
 	readonly load: string
-	/** On an answer: for how much longer the target is slow after a start, in ms. */
+	/** In a response: remaining time in which the target is slow after its start, in ms. */
 	readonly coldMs: string
-	/** On an answer, with this value: the target ends soon and takes no new work. */
+	/** In a response, with this value: the target is about to stop and takes no new work. */
 	readonly leaving: { readonly header: string; readonly value: string }
-	/** On an answer: the requests a second that the target takes from all boxes together. */
+	/** In a response: the requests per second that the target accepts from all boxes together. */
 	readonly requestRate: string
 }
 
-/** How callers and targets spell what the gateway means. @public */
+/** The protocol of the platform: names and values of headers, and statuses. @public */
 export interface Dialect {
 	readonly headers: HeaderNames
-	/** Headers that only the fleet may set for a target; a caller's are dropped. Lower case. */
+	/** Headers that only a box may set for a target; those of a caller are dropped. Lower case. */
 	readonly reservedHeaders: ReadonlySet<string>
-	/** Headers by which the platform's own programs speak to each other, lower case: a new one may be a word for a box. */
+	/**
+	 * Matches names of the platform's own headers, in lower case. An unknown one may carry information that a box
+	 * needs.
+	 */
 	readonly ownHeader: RegExp
-	/** Those of them on answers that say nothing that a box needs. Lower case. */
+	/** Platform headers in responses that carry nothing that a box needs. Lower case. */
 	readonly unreadHeaders: ReadonlySet<string>
-	/** The least urgent rank that a target knows. */
+	/** The least urgent rank that targets accept. */
 	readonly leastUrgentRank: number
-	/** Status by which a target says that it is not the one named. */
+	/** Status of a response of a target that is not the expected one. */
 	readonly wrongTargetStatus: number
-	/** Limits until a configuration is in force. */
+	/** Limits until the first configuration is applied. */
 	readonly initialLimits: RequestLimits
-	/** Reads what a caller states of its work; undefined where it states nothing. */
+	/** Reads the work that a caller declares; undefined if it declares none. */
 	readWork(
 		header: (name: string) => string | undefined,
 	): Either<MalformedRequest, DeclaredWork | undefined>
-	/** Reads the key of an account; undefined where there is none. */
+	/** Reads the key of an account; undefined if there is none. */
 	readKey(header: (name: string) => string | undefined): string | undefined
-	/** Reads the load that a target tells; undefined where it can't be read. */
+	/** Parses the load reported by a target; undefined if it cannot be parsed. */
 	readLoad(text: string): TargetLoad | undefined
-	/** Status of an answer of our own. */
+	/** Status of a response with which the gateway refuses a request. */
 	statusFor(refusal: RefusalKind): number
 }
--- a/packages/gateway/src/lib/EventLoopDelay.ts
+++ b/packages/gateway/src/lib/EventLoopDelay.ts
@@ -1,10 +1,10 @@
 const TICK_INTERVAL_MS = 25
-/** Part of the delay that is still counted one tick later, when timers are on time again. */
+/** Factor by which the sustained delay decays per tick while timers are on time. */
 const DECAY_FACTOR = 0.9
 
 /**
- * Measures by how much the timers of this process are late: the time that its work waits. One late timer
- * is a pause (a long step, a process that was stopped); only two in a row are a box that can't keep up.
+ * Measures the delay of the event loop by the lateness of a timer. One late tick may be a pause, such as a long step
+ * or a stopped process; two in a row mean that the box is overloaded.
  */
 export class EventLoopDelay {
 	private timer: NodeJS.Timeout | undefined
@@ -12,7 +12,7 @@
 	private sustained = 0
 	private previousLateMs = 0
 
-	/** `now` is the steady clock, in ms. */
+	/** `now` is a clock in ms. */
 	constructor(private readonly now: () => number) {}
 
 	start(): void {
@@ -24,24 +24,21 @@
 		clearInterval(this.timer)
 	}
 
-	/** The delay of late, in ms. */
+	/** Delay that lasted for at least two ticks, decaying over time, in ms. */
 	get sustainedMs(): number {
 		return this.sustained
 	}
 
-	/**
-	 * By how much this process is late right now, in ms: what it reads may have waited for that long. It counts a
-	 * single pause as well.
-	 */
+	/** Current delay, in ms: input may have waited that long before it is read. Includes single pauses. */
 	get currentMs(): number {
 		return Math.max(0, this.now() - this.expectedAt, this.previousLateMs)
 	}
 
 	private tick(): void {
 		const now = this.now()
-		const late = Math.max(0, now - this.expectedAt)
-		this.sustained = Math.max(Math.min(late, this.previousLateMs), this.sustained * DECAY_FACTOR)
-		this.previousLateMs = late
+		const lateMs = Math.max(0, now - this.expectedAt)
+		this.sustained = Math.max(Math.min(lateMs, this.previousLateMs), this.sustained * DECAY_FACTOR)
+		this.previousLateMs = lateMs
 		this.expectedAt = now + TICK_INTERVAL_MS
 	}
 }
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -35,19 +35,19 @@
 import { TokenReservation } from './TokenReservation.js'
 
 /**
- * Lateness of this process, or wait for a connection, from which it looks for callers that left before it sends their
- * requests on, in ms: it costs one more pass of the event loop, and what is on time is hardly ever left by then.
+ * Delay of this process, or wait for a connection, from which it checks whether the caller has disconnected before it
+ * sends the request on, in ms. The check takes one more iteration of the event loop.
  */
 const MIN_DELAY_FOR_DISCONNECT_CHECK_MS = 25
 /**
- * How long a second try waits until it is known whether the first ended its target, in ms: a new connection tells
- * within two round trips, and a target behind a cut link tells nothing.
+ * Maximum wait of a retry until it is known whether the previous attempt crashed its target, in ms. A new connection
+ * shows this within two round trips; a target behind a network partition never answers.
  */
 const MAX_CRASH_CHECK_WAIT_MS = 50
-/** Least time that is worth handing on to a target, in ms. */
+/** Remaining time below which a request is not sent to a target, in ms. */
 const MIN_REMAINING_MS = 10
 
-/** One request of a caller, from its head to the end of its answer. */
+/** One request of a caller, from its head to the end of the response. */
 export class Exchange {
 	private readonly arrivedAt: number
 	private readonly responseWriter: ResponseWriter
@@ -56,13 +56,13 @@
 	private request: CallerRequest | undefined
 	private attempt: Attempt | undefined
 	private readonly timeLimit: TimeLimit
-	/** Attempts of which bytes left this box. */
+	/** Attempts of which bytes were sent. */
 	private attemptsSent = 0
-	/** When the request first went to a target; undefined until then. */
+	/** Time at which the request was first sent to a target; undefined until then. */
 	private firstSentAt: number | undefined
 	/** A target may have run the request, or may be running it. */
 	private mayHaveRun = false
-	/** Tells that the run under way is over. */
+	/** Reports the end of the current run to the crash protection. */
 	private endRun: () => void = () => undefined
 	private hasEnded = false
 
@@ -82,7 +82,7 @@
 		response.on('close', () => this.handleDisconnect())
 	}
 
-	/** Serves the request. Rejects only on a fault of the program. */
+	/** Serves the request. Rejects only on an internal error. */
 	async run(): Promise<void> {
 		const { traffic, dialect } = this.context
 		if (this.context.isRefusingRequests) {
@@ -93,48 +93,51 @@
 			this.refuse('not-configured', 'no configuration yet')
 			return
 		}
-		const read = readCallerRequest(this.message, traffic.index, dialect)
-		if (E.isLeft(read)) {
-			this.refuse(this.refusalKindFor(read.left.kind), read.left.detail)
+		const parsed = readCallerRequest(this.message, traffic.index, dialect)
+		if (E.isLeft(parsed)) {
+			this.refuse(this.refusalKindFor(parsed.left.kind), parsed.left.detail)
 			return
 		}
-		this.request = read.right
+		this.request = parsed.right
 		const body = await this.readBody(traffic)
 		if (!body || this.hasEnded) return
-		if (this.refuseIfOverloaded(read.right)) return
-		if (this.refuseIfUnavailable(read.right)) return
-		const content = new RequestContent(read.right, body)
+		if (this.refuseIfOverloaded(parsed.right)) return
+		if (this.refuseIfUnavailable(parsed.right)) return
+		const content = new RequestContent(parsed.right, body)
 		if (this.endIfQuarantined(content)) return
-		this.timeLimit.start(read.right, () => this.handleTimeLimit())
-		if (!(await this.reserve(read.right))) return
-		await this.tryTargets(read.right, traffic, body, content)
+		this.timeLimit.start(parsed.right, () => this.handleTimeLimit())
+		if (!(await this.reserve(parsed.right))) return
+		await this.tryTargets(parsed.right, traffic, body, content)
 	}
 
-	/** What a configuration does not allow is refused for good only by one that is up to date. */
+	/** A final refusal because of the configuration requires a current one; otherwise the caller may retry. */
 	private refusalKindFor(kind: RefusalKind): RefusalKind {
 		const dependsOnConfiguration = kind === 'no-route' || kind === 'no-key'
 		if (!dependsOnConfiguration || this.context.isConfigurationCurrent()) return kind
 		return 'configuration-old'
 	}
 
-	/** Refuses the request where this box is late with what it has. */
+	/** Refuses a share of the requests while this box is overloaded. Returns true if it refused this one. */
 	private refuseIfOverloaded(request: CallerRequest): boolean {
 		const delayMs = this.context.sustainedDelayMs()
-		const part = shedFraction(delayMs, request.work !== undefined)
-		if (part === 0 || this.context.random() >= part) return false
+		const fraction = shedFraction(delayMs, request.work !== undefined)
+		if (fraction === 0 || this.context.random() >= fraction) return false
 		this.refuse('overloaded', `timers are ${Math.round(delayMs)} ms late`)
 		return true
 	}
 
-	/** Refuses the request at once where no target of its service takes work. */
+	/** Refuses the request if no target of its service accepts work. Returns true if it did. */
 	private refuseIfUnavailable(request: CallerRequest): boolean {
-		const closed = findUnavailability(this.context, request)
-		if (!closed) return false
-		this.refuse('no-target', closed.detail, closed.opensInMs)
+		const unavailability = findUnavailability(this.context, request)
+		if (!unavailability) return false
+		this.refuse('no-target', unavailability.detail, unavailability.availableInMs)
 		return true
 	}
 
-	/** Ends the exchange where the request is known to end targets, or may do so and runs already. */
+	/**
+	 * Ends the exchange if the request is quarantined, or may crash its target and is already running elsewhere.
+	 * Returns true if it did.
+	 */
 	private endIfQuarantined(content: RequestContent): boolean {
 		const heldBack = this.context.crashProtection.heldBack(content, this.attemptsSent === 0)
 		if (!heldBack) return false
@@ -144,7 +147,7 @@
 		return true
 	}
 
-	/** Ends the exchange after a fault of the program. */
+	/** Ends the exchange after an internal error. */
 	failInternally(): void {
 		this.attempt?.cancel()
 		if (!this.hasEnded) this.refuse('target-failed', 'internal fault')
@@ -152,11 +155,11 @@
 
 	private async readBody(traffic: ActiveTraffic): Promise<Buffer | undefined> {
 		const { maxBodyBytes, idleTimeoutMs } = traffic.index.config.limits
-		const read = await readBody(this.message, maxBodyBytes, idleTimeoutMs)
+		const result = await readBody(this.message, maxBodyBytes, idleTimeoutMs)
 		if (this.hasEnded) return undefined
-		switch (read.kind) {
+		switch (result.kind) {
 			case 'whole':
-				return read.body
+				return result.body
 			case 'caller-left':
 				this.finish()
 				return undefined
@@ -167,7 +170,7 @@
 				this.refuse('body-late', `idle for ${idleTimeoutMs} ms`)
 				return undefined
 			default:
-				return exhaustive(read)
+				return exhaustive(result)
 		}
 	}
 
@@ -182,8 +185,8 @@
 		const { account, work } = request
 		if (!account || !work || account.tokenBudget === undefined) return true
 		const tokens = maxTotalTokens(work)
-		const patience = Math.min(this.timeLimit.remainingMs(request), request.route.latencyGoalMs)
-		const result = await this.reservation.reserve(account.name, tokens, patience)
+		const waitMs = Math.min(this.timeLimit.remainingMs(request), request.route.latencyGoalMs)
+		const result = await this.reservation.reserve(account.name, tokens, waitMs)
 		if (this.hasEnded) {
 			this.reservation.settle(0)
 			return false
@@ -210,8 +213,8 @@
 			}
 			if (await this.hasCallerDisconnected()) return
 			if (this.endIfQuarantined(content)) return
-			const place = this.chooseTarget(request)
-			if (!place) {
+			const placement = this.chooseTarget(request)
+			if (!placement) {
 				this.fail('no target is open')
 				return
 			}
@@ -220,32 +223,32 @@
 					this.context,
 					request,
 					traffic,
-					place,
+					placement,
 					this.timeLimit.remainingMs(request),
 				),
 			)
-			const beganAt = this.context.now()
-			const end = await this.runAttempt(request, place, body, content)
-			const judged = reportRunEnd(this.context.crashProtection, {
+			const startedAt = this.context.now()
+			const end = await this.runAttempt(request, placement, body, content)
+			const crashCheck = reportRunEnd(this.context.crashProtection, {
 				content,
-				target: place.target,
-				startedAt: beganAt,
+				target: placement.target,
+				startedAt: startedAt,
 				end,
 			})
 			if (this.hasEnded || !this.shouldRetry(request, end)) return
-			await Promise.race([judged, sleep(MAX_CRASH_CHECK_WAIT_MS)])
+			await Promise.race([crashCheck, sleep(MAX_CRASH_CHECK_WAIT_MS)])
 		}
 	}
 
 	/**
-	 * True where the caller left: looked up just before a target is chosen, and again before the request leaves on a
-	 * connection that had to be made, for which it waited so long. A process that is late has read the request, or that
-	 * the connection stands, and not yet that the caller has gone since.
+	 * True if the caller has disconnected: checked before a target is chosen, and again after `waitedMs` of waiting
+	 * for a connection. A process that is late may have read the request, or seen the connection open, before it
+	 * reads that the caller has disconnected.
 	 */
 	private async hasCallerDisconnected(waitedMs = 0): Promise<boolean> {
 		if (Math.max(waitedMs, this.context.currentDelayMs()) >= MIN_DELAY_FOR_DISCONNECT_CHECK_MS)
 			await nextEventLoopIteration()
-		// The end of the connection is told to the answer some turns after it was read.
+		// Node emits `close` on the response some turns after it has read the end of the connection.
 		if (this.message.socket.readableEnded) this.handleDisconnect()
 		return this.hasEnded
 	}
@@ -268,44 +271,45 @@
 
 	private async runAttempt(
 		request: CallerRequest,
-		place: Placement,
+		placement: Placement,
 		body: Buffer,
 		content: RequestContent,
 	): Promise<AttemptEnd> {
-		this.triedTargets.add(incarnationOf(place.target))
+		this.triedTargets.add(incarnationOf(placement.target))
 		this.firstSentAt ??= this.context.suspendAwareNow()
-		const mayMoveOn = isRepeatable(request) && this.attemptsSent + 1 < request.route.maxAttempts
+		const mayRetryElsewhere =
+			isRepeatable(request) && this.attemptsSent + 1 < request.route.maxAttempts
 		this.attempt = new Attempt(
 			this.context,
 			request,
-			place,
+			placement,
 			this.responseWriter,
-			mayMoveOn,
+			mayRetryElsewhere,
 			content,
 			(waitedMs) => this.hasCallerDisconnected(waitedMs),
 		)
-		const left = Math.floor(this.timeLimit.remainingMs(request))
-		const resumeAfter = this.responseWriter.lastEventId
+		const remainingMs = Math.floor(this.timeLimit.remainingMs(request))
+		const resumeAfterEventId = this.responseWriter.lastEventId
 		const message = buildTargetRequest(
 			request,
 			this.context.dialect,
-			place.target.name,
+			placement.target.name,
 			body,
-			left,
-			resumeAfter,
+			remainingMs,
+			resumeAfterEventId,
 		)
-		const before = this.mayHaveRun
+		const mayHaveRunBefore = this.mayHaveRun
 		this.mayHaveRun = true
 		this.endRun = this.context.crashProtection.begin(content)
 		const end = await this.attempt.run(message)
 		this.endRun()
 		const ran = end.outcome.kind === 'unknown' || end.outcome.kind === 'answered'
-		this.mayHaveRun = before || ran
+		this.mayHaveRun = mayHaveRunBefore || ran
 		if (end.outcome.kind !== 'not-sent') this.attemptsSent++
 		return end
 	}
 
-	/** True where another target is to be tried; otherwise the exchange has ended. */
+	/** Returns true if another target should be tried; otherwise it has ended the exchange. */
 	private shouldRetry(request: CallerRequest, end: AttemptEnd): boolean {
 		const step = decideAfterAttempt(end.outcome, this.attemptFacts(request))
 		switch (step.kind) {
@@ -326,14 +330,15 @@
 
 	private attemptFacts(request: CallerRequest): AttemptFacts {
 		const { context } = this
-		const repeats = context.retryBudget(request.service)
+		const retryBudget = context.retryBudget(request.service)
 		return {
 			repeatable: isRepeatable(request),
 			attempts: this.attemptsSent,
 			maxAttempts: request.route.maxAttempts,
 			mayHaveRun: this.mayHaveRun,
 			remainingMs: this.timeLimit.remainingMs(request),
-			takeRetry: () => repeats.tryAcquire(context.retryLimits, context.boxCount(), context.now()),
+			takeRetry: () =>
+				retryBudget.tryAcquire(context.retryLimits, context.boxCount(), context.now()),
 		}
 	}
 
@@ -345,8 +350,8 @@
 		this.reservation.settle(
 			chargeFor(request, {
 				tokensPerEvent: this.context.traffic?.index.service(request.service)?.tokensPerEvent,
-				isOneStream: this.attemptsSent <= 1 && !end.completeResponse,
-				events: this.responseWriter.eventCount,
+				isSingleStream: this.attemptsSent <= 1 && !end.completeResponse,
+				eventCount: this.responseWriter.eventCount,
 			}),
 		)
 		if (end.completeResponse)
@@ -370,34 +375,34 @@
 			this.refuse('target-failed', cause)
 			return
 		}
-		// The last target that took work may have turned this very request away.
-		const closed = this.request && findUnavailability(this.context, this.request)
-		const detail = closed ? `${cause}; ${closed.detail}` : cause
-		this.refuse('no-target', detail, closed?.opensInMs)
+		// The last target that accepted work may have rejected this very request.
+		const unavailability = this.request && findUnavailability(this.context, this.request)
+		const detail = unavailability ? `${cause}; ${unavailability.detail}` : cause
+		this.refuse('no-target', detail, unavailability?.availableInMs)
 	}
 
-	/** Ends an answer that has begun and can't be completed, so that it does not look whole. */
+	/** Aborts a response that has started and cannot be completed, so that it does not look complete. */
 	private abortResponse(cause: string): void {
 		this.reservation.settle(Infinity)
 		this.responseWriter.destroy()
 		this.recordEnd('request-failed', { cause })
 	}
 
-	/** `opensInMs`: before that time coming back is in vain, as far as is known. */
-	private refuse(kind: RefusalKind, detail: string, opensInMs = 0): void {
+	/** Refuses the request. A retry is known to fail before `availableInMs` has passed. */
+	private refuse(kind: RefusalKind, detail: string, availableInMs = 0): void {
 		this.reservation.settle(this.mayHaveRun ? Infinity : 0)
-		const answer = createRefusal(kind, detail, this.context.random(), opensInMs)
+		const refusal = createRefusal(kind, detail, this.context.random(), availableInMs)
 		this.responseWriter.sendRefusal(
 			this.context.dialect.statusFor(kind),
-			answer,
+			refusal,
 			this.message.complete,
 		)
-		this.recordEnd('request-refused', { kind, detail, retryAfterMs: answer.retryAfterMs ?? 0 })
+		this.recordEnd('request-refused', { kind, detail, retryAfterMs: refusal.retryAfterMs ?? 0 })
 	}
 
 	private handleDisconnect(): void {
 		if (this.hasEnded) return
-		// Work that may run only once is let finish: nobody may ask for it again.
+		// A request that may run only once continues, because it cannot be repeated later.
 		if (this.request?.route.kind !== 'once') this.attempt?.cancel()
 		this.reservation.settle(this.mayHaveRun ? Infinity : 0)
 		this.recordEnd('request-cancelled', {})
--- a/packages/gateway/src/lib/Gateway.test.ts
+++ b/packages/gateway/src/lib/Gateway.test.ts
@@ -4,18 +4,21 @@
 import { sleep } from './sleep.js'
 import { TestBox, trafficConfigOf, type TargetHandler } from './testBox.js'
 
-/** Time in which a call that the store took before it went away is answered, in ms: several times its usual one. */
+/**
+ * Time in which the store answers a call that it received before it became unavailable, in ms: several times the
+ * usual one.
+ */
 const STORE_ANSWER_MS = 40
-/** Time in which a box has noticed what the store says, in ms: far more than it takes, for a busy machine. */
-const NOTICED_MS = 10_000
+/** Time in which a box must apply a change in the store, in ms: generous, for a busy machine. */
+const WAIT_TIMEOUT_MS = 10_000
 
-const ok: TargetHandler = (_message, response) => response.end('ok')
+const respondOk: TargetHandler = (_message, response) => response.end('ok')
 
-function event(id: number): string {
+function eventText(id: number): string {
 	return `id: ${id}\ndata: piece ${id}\n\n`
 }
 
-function beginStream(response: ServerResponse): void {
+function writeStreamHead(response: ServerResponse): void {
 	response.writeHead(200, { 'Content-Type': 'text/event-stream' })
 }
 
@@ -23,41 +26,45 @@
 	let box: TestBox
 	afterEach(async () => box.stop())
 
-	async function running(...targets: [string, TargetHandler][]): Promise<void> {
+	async function startBox(...targets: [string, TargetHandler][]): Promise<void> {
 		box = new TestBox()
 		await box.start()
 		box.configure()
-		for (const [id, handler] of targets) await box.target(id, handler)
+		for (const [id, handler] of targets) await box.addTarget(id, handler)
 		await box.waitUntilReady()
 	}
 
-	it('is not ready and refuses as not run before it knows a configuration', async () => {
+	it('is not ready before it has a configuration and refuses requests as not run', async () => {
 		box = new TestBox()
 		await box.start()
 		expect(await box.readinessStatus()).toBe(503)
-		const answer = await box.sendRequest('/once/x')
-		expect(answer.status).toBe(503)
-		expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
+		const result = await box.sendRequest('/once/x')
+		expect(result.status).toBe(503)
+		expect(Number(result.headers['retry-after'])).toBeGreaterThan(0)
 	})
 
-	it('passes a request on as it came, with the headers of the fleet', async () => {
-		await running(['t1', ok])
+	it('forwards a request unchanged with the headers of the fleet', async () => {
+		await startBox(['t1', respondOk])
 		const forged = { account: 'other', 'expected-target': 't9', rank: '0', extra: 'kept' }
-		const answer = await box.sendRequest('/once/x?q=1', {
+		const result = await box.sendRequest('/once/x?q=1', {
 			body: 'hello',
 			headers: { ...forged, 'deadline-ms': '5000' },
 		})
-		expect(answer).toMatchObject({ status: 200, body: 'ok', whole: true })
-		expect(answer.headers['target-mark']).toBe('t1')
-		const [seen] = box.receivedRequests
-		expect(seen?.body).toBe('hello')
-		expect(seen?.headers).toMatchObject({ account: 'acme', 'expected-target': 't1', extra: 'kept' })
-		expect(seen?.headers.authorization).toBeUndefined()
-		expect(Number(seen?.headers['deadline-ms'])).toBeLessThanOrEqual(5_000)
+		expect(result).toMatchObject({ status: 200, body: 'ok', isComplete: true })
+		expect(result.headers['target-mark']).toBe('t1')
+		const [received] = box.receivedRequests
+		expect(received?.body).toBe('hello')
+		expect(received?.headers).toMatchObject({
+			account: 'acme',
+			'expected-target': 't1',
+			extra: 'kept',
+		})
+		expect(received?.headers.authorization).toBeUndefined()
+		expect(Number(received?.headers['deadline-ms'])).toBeLessThanOrEqual(5_000)
 	})
 
-	it('refuses what is at fault, and no target hears of it', async () => {
-		await running(['t1', ok])
+	it('refuses invalid requests without sending them to a target', async () => {
+		await startBox(['t1', respondOk])
 		expect((await box.sendRequest('/nowhere/')).status).toBe(404)
 		expect((await box.sendRequest('/once/x', { headers: { authorization: 'wrong' } })).status).toBe(
 			401,
@@ -70,8 +77,8 @@
 		expect(box.receivedRequests).toEqual([])
 	})
 
-	it('keeps the last configuration when the next one can not be read, then takes a newer one', async () => {
-		await running(['t1', ok])
+	it('keeps its configuration when a newer one cannot be parsed, then applies the next valid one', async () => {
+		await startBox(['t1', respondOk])
 		box.store.put('config/now', '{')
 		await sleep(100)
 		expect((await box.sendRequest('/once/x')).status).toBe(200)
@@ -81,22 +88,24 @@
 		expect((await box.sendRequest('/once/x', { id: 'r-2' })).status).toBe(404)
 	})
 
-	it('gives a target that leaves no new work once the store says so', async () => {
-		await running(['t1', ok], ['t2', ok])
+	it('sends no new requests to a target that the store lists as leaving', async () => {
+		await startBox(['t1', respondOk], ['t2', respondOk])
 		const entry = JSON.parse(box.store.text('targets/t1') ?? '') as TargetEntry
 		box.listTarget('t1', entry.address, true)
 		await sleep(100)
 		for (let i = 0; i < 10; i++) await box.sendRequest('/once/x', { id: `r-${i}` })
-		expect(new Set(box.receivedRequests.map((seen) => seen.addTarget))).toEqual(new Set(['t2']))
+		expect(new Set(box.receivedRequests.map((received) => received.target))).toEqual(
+			new Set(['t2']),
+		)
 	})
 
-	it('refuses at once as not run while all targets lie in a cordoned zone, and serves once it is given back', async () => {
-		await running(['t1', ok])
+	it('refuses requests as not run while all targets are in a cordoned zone, and serves them once the cordon is lifted', async () => {
+		await startBox(['t1', respondOk])
 		box.store.put('config/cordon/z1', '{}')
 		await sleep(100)
-		const began = performance.now()
+		const startedAt = performance.now()
 		const refused = await box.sendRequest('/once/x', { headers: { tokens: '10' } })
-		expect(performance.now() - began).toBeLessThan(200)
+		expect(performance.now() - startedAt).toBeLessThan(200)
 		expect(refused.status).toBe(503)
 		expect(refused.body).toContain('cordoned')
 		expect(Number(refused.headers['retry-after'])).toBeGreaterThanOrEqual(1)
@@ -107,8 +116,8 @@
 		expect((await box.sendRequest('/once/x', { id: 'r-2' })).status).toBe(200)
 	})
 
-	it('sends a request elsewhere whose target was cordoned while the request waited for tokens', async () => {
-		await running(['t1', ok], ['t2', ok])
+	it('chooses another target if the zone is cordoned while a request waits for tokens', async () => {
+		await startBox(['t1', respondOk], ['t2', respondOk])
 		const entry = JSON.parse(box.store.text('targets/t2') ?? '') as TargetEntry
 		box.store.put('targets/t2', JSON.stringify({ ...entry, zone: 'z2' }))
 		box.storeFate = 'lost'
@@ -122,47 +131,49 @@
 		await sleep(100)
 		box.receivedRequests.length = 0
 		await box.sendRequest('/once/x', { id: 'r-9' })
-		expect(box.receivedRequests.map((seen) => seen.addTarget)).toEqual(['t2'])
+		expect(box.receivedRequests.map((received) => received.target)).toEqual(['t2'])
 	})
 
-	it('sends a request only into regions that its route allows', async () => {
-		await running(['t1', ok], ['t2', ok])
+	it('sends requests only to regions that their route allows', async () => {
+		await startBox(['t1', respondOk], ['t2', respondOk])
 		expect((await box.sendRequest('/home/x')).status).toBe(503)
 		const entry = JSON.parse(box.store.text('targets/t2') ?? '') as TargetEntry
 		box.store.put('targets/t2', JSON.stringify({ ...entry, zone: 'z2' }))
 		await sleep(100)
 		for (let i = 0; i < 5; i++)
 			expect((await box.sendRequest('/home/x', { id: `r-${i}` })).status).toBe(200)
-		expect(new Set(box.receivedRequests.map((seen) => seen.addTarget))).toEqual(new Set(['t2']))
+		expect(new Set(box.receivedRequests.map((received) => received.target))).toEqual(
+			new Set(['t2']),
+		)
 	})
 
-	it('ends undisturbed what runs in a zone when that is cordoned', async () => {
+	it('completes requests in flight in a zone that is cordoned', async () => {
 		let finish: () => void = () => undefined
-		await running(['t1', (_message, response) => (finish = () => response.end('whole'))])
-		const answer = box.sendRequest('/once/x')
+		await startBox(['t1', (_message, response) => (finish = () => response.end('whole'))])
+		const result = box.sendRequest('/once/x')
 		while (box.receivedRequests.length === 0) await sleep(5)
 		box.store.put('config/cordon/z1', '{}')
 		await sleep(100)
 		finish()
-		expect(await answer).toMatchObject({ status: 200, body: 'whole', whole: true })
+		expect(await result).toMatchObject({ status: 200, body: 'whole', isComplete: true })
 	})
 
-	it('sends nothing on whose caller left before a late process read the request', async () => {
-		await running(['t1', ok])
+	it('drops a request whose caller disconnected before a delayed process read it', async () => {
+		await startBox(['t1', respondOk])
 		for (let i = 0; i < 5; i++) {
 			await box.sendAndDisconnect(`r-${i}`)
 			await sleep(100)
 		}
 		expect(box.receivedRequests).toEqual([])
-		const left = box.logEvents.filter((event) => event.name === 'request-cancelled')
-		expect(left).toHaveLength(5)
+		const cancelled = box.logEvents.filter((event) => event.name === 'request-cancelled')
+		expect(cancelled).toHaveLength(5)
 	})
 
-	it('sends nothing on whose caller left while a late process waited for a connection to the target', async () => {
-		await running(['t1', ok])
+	it('drops a request whose caller disconnected while a delayed process connected to the target', async () => {
+		await startBox(['t1', respondOk])
 		for (let i = 0; i < 10; i++) {
 			await box.sendAndDisconnectWhenTargetChosen(`r-${i}`)
-			// The next request has to wait for a connection as well.
+			// The next request has to open a connection as well.
 			for (const socket of box.targetSockets) socket.destroy()
 			await sleep(100)
 		}
@@ -170,8 +181,8 @@
 		expect(box.receivedRequests).toEqual([])
 	})
 
-	it('says with each choice how old the word on its target is', async () => {
-		await running(['t1', ok])
+	it('logs the age of the target list with each chosen target', async () => {
+		await startBox(['t1', respondOk])
 		await box.sendRequest('/once/x')
 		const chosen = box.logEvents.find((event) => event.name === 'target-chosen')
 		expect(chosen?.fields).toMatchObject({ target: 't1', lapsed: false })
@@ -179,13 +190,13 @@
 		expect(chosen?.fields.targetListAgeMs).toBeGreaterThanOrEqual(0)
 	})
 
-	it('keeps to a drain and loses no request while the store is away', async () => {
-		await running(['t1', ok], ['t2', ok])
+	it('respects a drain and loses no request while the store is unavailable', async () => {
+		await startBox(['t1', respondOk], ['t2', respondOk])
 		const entry = JSON.parse(box.store.text('targets/t1') ?? '') as TargetEntry
 		box.listTarget('t1', entry.address, true)
 		await sleep(100)
 		box.storeFate = 'lost'
-		// A watch that the store took before may still be answered: it would tell the removals as well.
+		// A watch that the store received before could still report the removals.
 		await sleep(STORE_ANSWER_MS)
 		box.store.remove('targets/t1')
 		box.store.remove('targets/t2')
@@ -193,16 +204,18 @@
 			expect((await box.sendRequest('/once/x', { id: `r-${i}` })).status).toBe(200)
 			await sleep(50)
 		}
-		expect(new Set(box.receivedRequests.map((seen) => seen.addTarget))).toEqual(new Set(['t2']))
+		expect(new Set(box.receivedRequests.map((received) => received.target))).toEqual(
+			new Set(['t2']),
+		)
 	})
 
-	it('refuses for good by its configuration only while the store vouches for it', async () => {
-		await running(['t1', ok])
+	it('sends final refusals only while the store confirms its configuration', async () => {
+		await startBox(['t1', respondOk])
 		box.storeFate = 'lost'
 		await sleep(4_300)
-		const answer = await box.sendRequest('/nowhere/')
-		expect(answer.status).toBe(503)
-		expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
+		const result = await box.sendRequest('/nowhere/')
+		expect(result.status).toBe(503)
+		expect(Number(result.headers['retry-after'])).toBeGreaterThan(0)
 		expect((await box.sendRequest('/once/x', { headers: { authorization: 'new' } })).status).toBe(
 			503,
 		)
@@ -212,8 +225,8 @@
 		expect((await box.sendRequest('/nowhere/')).status).toBe(404)
 	})
 
-	it('lets an account have its tokens and no more', async () => {
-		await running(['t1', ok])
+	it('enforces the token budget of an account', async () => {
+		await startBox(['t1', respondOk])
 		const statuses: number[] = []
 		for (let i = 0; i < 14; i++)
 			statuses.push(
@@ -223,94 +236,102 @@
 		expect(statuses.slice(10)).toEqual([402, 402, 402, 402])
 	})
 
-	it('keeps to its configuration and to the budget when the store comes back from a copy', async () => {
-		await running(['t1', ok])
-		const copy = box.store.copy()
+	it('keeps its configuration and the budget when the store is restored from a backup', async () => {
+		await startBox(['t1', respondOk])
+		const backup = box.store.copy()
 		box.configure(2)
-		const ask = async (id: string): Promise<number> =>
+		const sendWithTokens = async (id: string): Promise<number> =>
 			(await box.sendRequest('/once/x', { id, headers: { tokens: '10' } })).status
-		for (let i = 0; i < 6; i++) expect(await ask(`before-${i}`)).toBe(200)
-		box.store.restore(copy)
-		const inEra = { configuration: 2, storeEra: 2 }
-		await vi.waitFor(() => expect(box.gateway.status()).toMatchObject(inEra), NOTICED_MS)
+		for (let i = 0; i < 6; i++) expect(await sendWithTokens(`before-${i}`)).toBe(200)
+		box.store.restore(backup)
+		const restoredStatus = { configuration: 2, storeEra: 2 }
+		await vi.waitFor(
+			() => expect(box.gateway.status()).toMatchObject(restoredStatus),
+			WAIT_TIMEOUT_MS,
+		)
 		const statuses: number[] = []
-		for (let i = 0; i < 8; i++) statuses.push(await ask(`after-${i}`))
+		for (let i = 0; i < 8; i++) statuses.push(await sendWithTokens(`after-${i}`))
 		expect(statuses).toEqual([200, 200, 200, 200, 402, 402, 402, 402])
 		box.configure(3)
-		await vi.waitFor(() => expect(box.gateway.status().configuration).toBe(3), NOTICED_MS)
-		const lines = box.logEvents.map(({ name }) => name)
-		expect(lines).toEqual(expect.arrayContaining(['store-restored', 'traffic-held']))
+		await vi.waitFor(() => expect(box.gateway.status().configuration).toBe(3), WAIT_TIMEOUT_MS)
+		const eventNames = box.logEvents.map(({ name }) => name)
+		expect(eventNames).toEqual(expect.arrayContaining(['store-restored', 'traffic-held']))
 	})
 
-	it('runs a request once at most that may not be repeated, and says that it may have run', async () => {
-		await running(
+	it('sends a non-repeatable request at most once and reports that it may have run', async () => {
+		await startBox(
 			['t1', (_message, response) => response.socket?.destroy()],
 			['t2', (_message, response) => response.socket?.destroy()],
 		)
-		const answer = await box.sendRequest('/once/x')
-		expect(answer.status).toBe(502)
+		const result = await box.sendRequest('/once/x')
+		expect(result.status).toBe(502)
 		expect(box.receivedRequests).toHaveLength(1)
 	})
 
-	it('asks another target where a repeatable request failed', async () => {
-		await running(['t1', (_message, response) => response.socket?.destroy()], ['t2', ok])
+	it('retries a failed repeatable request at another target', async () => {
+		await startBox(['t1', (_message, response) => response.socket?.destroy()], ['t2', respondOk])
 		for (let i = 0; i < 6; i++)
 			expect((await box.sendRequest('/again/x', { id: `r-${i}` })).status).toBe(200)
 	})
 
-	it('asks on a new connection once one to the target has gone silent', async () => {
-		const silent = new Set<unknown>()
-		await running([
+	it('opens a new connection after another one to the target stopped responding', async () => {
+		const silentSockets = new Set<unknown>()
+		await startBox([
 			't1',
 			(message, response) => {
-				if (!silent.has(message.socket)) response.end('ok')
+				if (!silentSockets.has(message.socket)) response.end('ok')
 			},
 		])
-		// Two connections that rest, both of which then say nothing any more.
+		// Opens two connections, both of which then stop responding.
 		await Promise.all([1, 2].map((i) => box.sendRequest('/once/x', { id: `r-${i}` })))
 		await sleep(50)
-		for (const socket of box.targetSockets) silent.add(socket)
-		const lost = await box.sendRequest('/once/x', { id: 'r-3', headers: { 'deadline-ms': '400' } })
-		expect(lost.status).toBe(504)
+		for (const socket of box.targetSockets) silentSockets.add(socket)
+		const timedOut = await box.sendRequest('/once/x', {
+			id: 'r-3',
+			headers: { 'deadline-ms': '400' },
+		})
+		expect(timedOut.status).toBe(504)
 		expect((await box.sendRequest('/once/x', { id: 'r-4' })).status).toBe(200)
 	})
 
-	it('breaks off a stream whose target broke off inside an event', async () => {
-		await running([
+	it('aborts a stream whose target closed the connection inside an event', async () => {
+		await startBox([
 			't1',
 			(_message, response) => {
-				beginStream(response)
-				response.write(`${event(1)}id: 2\ndata: ha`, () => setTimeout(() => response.destroy(), 20))
+				writeStreamHead(response)
+				response.write(`${eventText(1)}id: 2\ndata: ha`, () =>
+					setTimeout(() => response.destroy(), 20),
+				)
 			},
 		])
-		const answer = await box.sendRequest('/stream/x')
-		expect(answer).toMatchObject({ status: 200, body: event(1), whole: false })
+		const result = await box.sendRequest('/stream/x')
+		expect(result).toMatchObject({ status: 200, body: eventText(1), isComplete: false })
 	})
 
-	it('takes a broken stream up at another target where the route allows it', async () => {
-		const broken: TargetHandler = (message, response) => {
-			beginStream(response)
+	it('resumes a broken stream at another target if the route allows it', async () => {
+		const breakingStream: TargetHandler = (message, response) => {
+			writeStreamHead(response)
 			const after = Number(message.headers['last-event-id'] ?? 0)
 			if (after > 0) {
-				response.end(event(after + 1) + event(after + 2))
+				response.end(eventText(after + 1) + eventText(after + 2))
 				return
 			}
-			response.write(`${event(1)}${event(2)}id: 3\nda`, () =>
+			response.write(`${eventText(1)}${eventText(2)}id: 3\nda`, () =>
 				setTimeout(() => response.destroy(), 20),
 			)
 		}
-		await running(['t1', broken], ['t2', broken])
-		const answer = await box.sendRequest('/resume/x')
-		expect(answer.isComplete).toBe(true)
-		expect(answer.body).toBe([1, 2, 3, 4].map(event).join(''))
-		expect(box.receivedRequests.map((seen) => seen.headers['last-event-id'])).toEqual([
+		await startBox(['t1', breakingStream], ['t2', breakingStream])
+		const result = await box.sendRequest('/resume/x')
+		expect(result.isComplete).toBe(true)
+		expect(result.body).toBe([1, 2, 3, 4].map(eventText).join(''))
+		expect(box.receivedRequests.map((received) => received.headers['last-event-id'])).toEqual([
 			undefined,
 			'2',
 		])
 	})
 
-	it('does not give a frame to an answer that had none', async () => {
-		await running([
+	it('keeps a close-delimited response close-delimited', async () => {
+		await startBox([
 			't1',
 			(_message, response) => {
 				response.useChunkedEncodingByDefault = false
@@ -318,65 +339,65 @@
 				response.end('all or not')
 			},
 		])
-		const answer = await box.sendRequest('/once/x')
-		expect(answer.body).toBe('all or not')
-		expect(answer.headers['content-length']).toBeUndefined()
-		expect(answer.headers['transfer-encoding']).toBeUndefined()
+		const result = await box.sendRequest('/once/x')
+		expect(result.body).toBe('all or not')
+		expect(result.headers['content-length']).toBeUndefined()
+		expect(result.headers['transfer-encoding']).toBeUndefined()
 	})
 
-	it('passes on no answer of another request', async () => {
-		await running([
+	it('does not forward the response of another request', async () => {
+		await startBox([
 			't1',
 			(_message, response) => {
 				response.setHeader('request-id', 'somebody-else')
 				response.end('not yours')
 			},
 		])
-		const answer = await box.sendRequest('/once/x')
-		expect(answer.status).toBe(502)
-		expect(answer.body).not.toContain('not yours')
+		const result = await box.sendRequest('/once/x')
+		expect(result.status).toBe(502)
+		expect(result.body).not.toContain('not yours')
 	})
 
-	it('stops the target when the caller leaves', async () => {
+	it('closes the connection to the target when the caller disconnects', async () => {
 		let stopped: () => void = () => undefined
 		const targetStopped = new Promise<void>((resolve) => (stopped = resolve))
-		await running([
+		await startBox([
 			't1',
 			(_message, response) => {
-				beginStream(response)
-				response.write(event(1))
+				writeStreamHead(response)
+				response.write(eventText(1))
 				response.on('close', stopped)
 			},
 		])
-		void box.sendRequest('/stream/x', { onEvent: (hangUp) => hangUp() })
+		void box.sendRequest('/stream/x', { onChunk: (disconnect) => disconnect() })
 		await targetStopped
 	})
 
-	it('takes nothing for fresh after its machine was suspended, until it has heard anew', async () => {
-		await running(['t1', ok])
+	it('treats its configuration as outdated after the machine was suspended', async () => {
+		await startBox(['t1', respondOk])
 		expect((await box.sendRequest('/nowhere/')).status).toBe(404)
 		box.storeFate = 'lost'
 		box.suspendedMs += 10_000
-		const answer = await box.sendRequest('/nowhere/')
-		expect(answer.status).toBe(503)
-		expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0)
+		const result = await box.sendRequest('/nowhere/')
+		expect(result.status).toBe(503)
+		expect(Number(result.headers['retry-after'])).toBeGreaterThan(0)
 	})
 
-	it('sends nothing on for callers whose time went by while its machine was suspended', async () => {
+	it('does not retry a request whose deadline passed while the machine was suspended', async () => {
 		const suspendAndFail: TargetHandler = (_message, response) => {
 			box.suspendedMs += 2_000
 			response.socket?.destroy()
 		}
-		await running(['t1', suspendAndFail], ['t2', suspendAndFail])
-		const answer = await box.sendRequest('/again/x', { headers: { 'deadline-ms': '1500' } })
-		expect(answer.status).toBe(502)
+		await startBox(['t1', suspendAndFail], ['t2', suspendAndFail])
+		const result = await box.sendRequest('/again/x', { headers: { 'deadline-ms': '1500' } })
+		expect(result.status).toBe(502)
 		expect(box.receivedRequests).toHaveLength(1)
 	})
 
-	it('refuses as not run what comes late in a planned stop, and still ends what runs', async () => {
+	it('refuses late requests during shutdown as not run and completes those in flight', async () => {
 		const open: ServerResponse[] = []
-		await running(['t1', (_message, response) => open.push(response)])
-		const answer = box.sendRequest('/once/x')
+		await startBox(['t1', (_message, response) => open.push(response)])
+		const result = box.sendRequest('/once/x')
 		while (box.receivedRequests.length === 0) await sleep(5)
 		const stopped = box.gateway.stop()
 		let refused = await box.sendRequest('/again/x', { id: 'r-2', headers: { 'deadline-ms': '50' } })
@@ -386,20 +407,20 @@
 		expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0)
 		expect(refused.headers.connection).toBe('close')
 		for (const response of open) response.end('late')
-		expect(await answer).toMatchObject({ status: 200, body: 'late', whole: true })
+		expect(await result).toMatchObject({ status: 200, body: 'late', isComplete: true })
 		await stopped
 	})
 
-	it('ends what runs before it stops, and is not ready meanwhile', async () => {
+	it('is not ready during shutdown and completes requests in flight', async () => {
 		let finish: () => void = () => undefined
-		await running(['t1', (_message, response) => (finish = () => response.end('late'))])
-		const answer = box.sendRequest('/once/x')
+		await startBox(['t1', (_message, response) => (finish = () => response.end('late'))])
+		const result = box.sendRequest('/once/x')
 		while (box.receivedRequests.length === 0) await sleep(5)
 		const stopped = box.gateway.stop()
 		expect(await box.readinessStatus()).toBe(503)
 		finish()
-		expect(await answer).toMatchObject({ status: 200, body: 'late', whole: true })
-		expect((await answer).headers.connection).toBe('close')
+		expect(await result).toMatchObject({ status: 200, body: 'late', isComplete: true })
+		expect((await result).headers.connection).toBe('close')
 		await stopped
 	})
 })
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -33,16 +33,16 @@
 import { watchDurationMs } from './watchDurationMs.js'
 import { sleep } from './sleep.js'
 
-/** Time beyond a watch that its answer may take before the box counts as out of touch, in ms. */
+/** Time beyond its duration after which a watch of the store counts as failed, in ms. */
 const WATCH_GRACE_MS = 500
 const ALLOWANCE_INTERVAL_MS = 400
 const MAINTENANCE_INTERVAL_MS = 250
 /**
- * Time that the balancer needs to notice that a box is not ready, in ms. What comes later is refused:
- * it might not end within the grace.
+ * Time until the load balancer stops sending callers to a box that is not ready, in ms. Later requests are refused,
+ * because they might not finish within the shutdown grace.
  */
 const READINESS_PROPAGATION_MS = 2_800
-/** Time before the end of the grace at which tokens are given back at the latest, in ms. */
+/** Time before the end of the shutdown grace at which unspent tokens are returned at the latest, in ms. */
 const TOKEN_RETURN_MARGIN_MS = 2_400
 const SHUTDOWN_MARGIN_MS = 300
 const SHUTDOWN_POLL_INTERVAL_MS = 50
@@ -69,7 +69,7 @@
 	private readonly followers: PrefixFollower[]
 	private readonly timers: NodeJS.Timeout[] = []
 	private openRequests = 0
-	/** Connections that a target of the service with the fewest takes, by the configuration in force. */
+	/** Lowest limit on connections to a target among the services of the active configuration. */
 	private lowestMaxConnections = Infinity
 
 	constructor(private readonly options: GatewayOptions) {
@@ -131,7 +131,8 @@
 			lenderAddresses: (account) => this.membership.lenderAddresses(account),
 			tokenPeers: peers,
 			metrics: options.metrics,
-			// A promise that looks older than it is would be broken: a clock that may run ahead is none for money.
+			// Token budgets need a clock that never runs fast: a spending promise that looks older than it is would
+			// be broken.
 			now: options.now,
 			wallTime: options.wallTime,
 			uptimeMs: options.aliveMs,
@@ -153,7 +154,7 @@
 			registry: this.registry,
 			readTarget: (item) => options.storeLayout.readTarget(item),
 			onDropped: (target) => this.pools.remove(target.name),
-			onEnded: (restarted, gone) => this.sharing.crashes.noteListed(restarted, gone),
+			onEnded: (restarted, removed) => this.sharing.crashes.noteListed(restarted, removed),
 			listAgeMs: () => this.targetListAgeMs,
 			storeAvailableMs: () => this.feed.storeAvailableMs(options.storeLayout.targetsPrefix),
 			now: options.now,
@@ -199,10 +200,10 @@
 		this.readinessServer = new ReadinessServer(() => this.isReady, options.log)
 		this.peerServer = new PeerServer({
 			lend: (account, request) => this.allowance.lend(account, request),
-			fleetWork: (asker) => (this.membership.isLarge ? this.sharing.work.fleetWork(asker) : []),
+			fleetWork: (peer) => (this.membership.isLarge ? this.sharing.work.fleetWork(peer) : []),
 			accept: (account, tokens, budgetsVersion) =>
 				this.allowance.acceptTokens(account, tokens, budgetsVersion),
-			remember: (told) => this.allowance.receiveDraws(told),
+			remember: (draws) => this.allowance.receiveDraws(draws),
 			isOpen: () => !this.context.isStopping,
 			changes: (prefix, after, waitMs) => this.feed.handleRequest(prefix, after, waitMs),
 		})
@@ -215,14 +216,14 @@
 		})
 	}
 
-	/** True where this box can serve callers. */
+	/** True if this box can serve callers. */
 	get isReady(): boolean {
-		const { traffic, isStopping: stopping } = this.context
-		const knowsFleet = this.membership.isFleetKnown && this.allowance.isReady
-		return traffic !== undefined && this.targets.isListed && knowsFleet && !stopping
+		const { traffic, isStopping } = this.context
+		const isFleetKnown = this.membership.isFleetKnown && this.allowance.isReady
+		return traffic !== undefined && this.targets.isListed && isFleetKnown && !isStopping
 	}
 
-	/** Starts to listen and to follow the store. @throws where an address can't be listened on. */
+	/** Starts to listen and to follow the store. @throws if an address cannot be listened on. */
 	async start(): Promise<GatewayPorts> {
 		const callers = await listenOn(this.callerServer, this.options.listen.callers)
 		const readiness = await this.readinessServer.listen(this.options.listen.readiness)
@@ -236,21 +237,24 @@
 		return { callers, readiness }
 	}
 
-	/** Stops as planned: no new callers, all answers whole as far as the grace allows. */
+	/** Shuts down gracefully: refuses new requests and completes open ones as far as the grace allows. */
 	async stop(): Promise<void> {
 		if (this.context.isStopping) return
-		const began = this.options.suspendAwareNow()
+		const startedAt = this.options.suspendAwareNow()
 		this.context.isStopping = true
 		this.options.log({ name: 'stop-begun', fields: { open: this.openRequests } })
-		const end = began + this.options.shutdownGraceMs
+		const graceEndsAt = startedAt + this.options.shutdownGraceMs
 		await sleep(READINESS_PROPAGATION_MS)
 		this.context.isRefusingRequests = true
 		this.callerServer.closeIdleConnections()
-		await this.waitUntilIdle(end - TOKEN_RETURN_MARGIN_MS)
-		// Tokens go back while the last answers still run: the grace may end before they do.
-		const giveBackMs = Math.max(0, end - SHUTDOWN_MARGIN_MS - this.options.suspendAwareNow())
-		await Promise.race([this.allowance.returnUnspent(), sleep(giveBackMs)])
-		await this.waitUntilIdle(end - SHUTDOWN_MARGIN_MS)
+		await this.waitUntilIdle(graceEndsAt - TOKEN_RETURN_MARGIN_MS)
+		// Returns tokens while the last responses still run, because the grace may end before they do.
+		const returnTimeoutMs = Math.max(
+			0,
+			graceEndsAt - SHUTDOWN_MARGIN_MS - this.options.suspendAwareNow(),
+		)
+		await Promise.race([this.allowance.returnUnspent(), sleep(returnTimeoutMs)])
+		await this.waitUntilIdle(graceEndsAt - SHUTDOWN_MARGIN_MS)
 		this.callerServer.close()
 		this.callerServer.closeIdleConnections()
 		this.readinessServer.close()
@@ -265,13 +269,19 @@
 		this.options.log({ name: 'stop-done', fields: { open: this.openRequests } })
 	}
 
-	/** The followers of prefixes hear of it from the store; what else stands on the store is told here. */
-	private handleEraChange({ era, previousEra: before, call }: EraChange): void {
-		// The first answer of the store says in which era this process began.
-		if (before === 0) return
+	/** Reports a new era of the store to the parts that do not follow the store themselves. */
+	private handleEraChange({ era, previousEra, call }: EraChange): void {
+		// The first response of the store only sets the era in which this process starts.
+		if (previousEra === 0) return
 		const { index, revision = NO_REVISION } = this.context.traffic ?? {}
 		const configuration = index?.config.version ?? -1
-		const fields = { era, before, call, configuration, revision: describeRevision(revision) }
+		const fields = {
+			era,
+			before: previousEra,
+			call,
+			configuration,
+			revision: describeRevision(revision),
+		}
 		this.options.log({ name: 'store-restored', fields })
 		this.allowance.onEraChange()
 	}
@@ -283,7 +293,7 @@
 		this.sharing.crashes.maintain()
 	}
 
-	/** Waits until no request is open, at most until a point in time. */
+	/** Waits until no request is open, at most until the time `latest`. */
 	private async waitUntilIdle(latest: number): Promise<void> {
 		for (;;) {
 			const now = this.options.suspendAwareNow()
@@ -292,22 +302,22 @@
 		}
 	}
 
-	/** Takes limits that the settings may change while the process runs. */
+	/** Applies new retry limits when the settings are reloaded. */
 	setRetryLimits(limits: RetryLimits): void {
 		this.context.retryLimits = limits
 	}
 
-	/** Figures that are read rather than counted. */
+	/** Current values of the gauges, by metric name with labels. */
 	gauges(): Record<string, number> {
 		return this.report.gauges()
 	}
 
-	/** What operators ask a box for. */
+	/** The status document for operators. */
 	status(): GatewayStatus {
 		return this.report.status()
 	}
 
-	/** Lets a quarantined request run again, at all boxes. False where nothing is held against it. */
+	/** Releases a quarantined request at all boxes. Returns false if it is not quarantined. */
 	releaseQuarantined(fingerprint: string): boolean {
 		return this.sharing.crashes.release(brandId<RequestFingerprint>(fingerprint))
 	}
@@ -379,12 +389,12 @@
 	}
 
 	private isConfigurationCurrent(): boolean {
-		const { configurationPropagationLimitMs: configurationBoundMs } = this.options
-		// In a small fleet a watch may be silent for longer than the bound, and nothing is wrong.
-		const bound = this.membership.hasFollowers
-			? configurationBoundMs
-			: Math.max(configurationBoundMs, this.watchMs + WATCH_GRACE_MS)
-		return this.feed.confirmationAgeMs(this.options.storeLayout.configPrefix) < bound
+		const { configurationPropagationLimitMs } = this.options
+		// Without dependent boxes, a healthy watch may be silent for longer than the limit.
+		const limitMs = this.membership.hasFollowers
+			? configurationPropagationLimitMs
+			: Math.max(configurationPropagationLimitMs, this.watchMs + WATCH_GRACE_MS)
+		return this.feed.confirmationAgeMs(this.options.storeLayout.configPrefix) < limitMs
 	}
 
 	private get watchMs(): number {
--- a/packages/gateway/src/lib/GatewayContext.ts
+++ b/packages/gateway/src/lib/GatewayContext.ts
@@ -19,15 +19,15 @@
 import type { Dialect } from './Dialect.js'
 import type { UnknownHeaders } from './UnknownHeaders.js'
 
-/** The configuration in force, with the revision of the store that brought it. */
+/** The active configuration, with the store revision from which it was read. */
 export interface ActiveTraffic {
 	readonly index: TrafficIndex
 	readonly revision: StoreRevision
-	/** When this box took it, on the clock that counts suspended time. */
+	/** Time at which this box applied it, on the clock that counts suspended time. */
 	readonly since: number
 }
 
-/** What every request needs of its box: the blackboard of the gateway. */
+/** State and services of the box that every request uses. */
 export interface GatewayContext {
 	readonly box: BoxName
 	readonly zone: ZoneName
@@ -36,43 +36,46 @@
 	readonly allowance: AllowanceClient
 	readonly crashProtection: CrashProtection
 	readonly metrics: Metrics
-	/** Undefined until the first configuration came. Written by the configuration controller only. */
+	/** Undefined until the first configuration is applied. Only `Gateway` writes it. */
 	traffic: ActiveTraffic | undefined
 	retryLimits: RetryLimits
-	/** False where a newer configuration may be in force elsewhere for longer than is allowed. */
+	/** False if this box may have missed a newer configuration for longer than allowed. */
 	isConfigurationCurrent(): boolean
-	/** True once the process was told to stop. */
+	/** True once shutdown has begun. */
 	isStopping: boolean
-	/** True once a planned stop is so far on that what begins now might be cut off. */
+	/** True once new requests are refused, because they might not finish before the process exits. */
 	isRefusingRequests: boolean
-	/** Steady clock, in ms: stands still while the machine is suspended. */
+	/** Monotonic clock that stops while the machine is suspended, in ms. */
 	now(): number
-	/** Clock that counts suspended time, in ms: callers wait by it. */
+	/** Clock that includes suspended time, in ms. Used for the deadlines of callers. */
 	suspendAwareNow(): number
 	random(): number
 	log(event: LogEvent): void
 	poolFor(target: TargetEntry): ConnectionPool
-	/** True where the target takes no further connection from this box. */
+	/** True if this box has all the connections to the target that it may open. */
 	isAtConnectionLimit(target: TargetName): boolean
-	/** True where this box holds a connection to the target that nothing uses. */
+	/** True if this box has an idle connection to the target. */
 	hasIdleConnection(target: TargetName): boolean
-	/** False where the route or the account of a request keeps it out of a zone. */
+	/** False if the route or the account of the request excludes the zone. */
 	mayRunIn(zone: ZoneName, request: Pick<CallerRequest, 'route' | 'account'>): boolean
-	/** Time since the store last vouched for the list of targets, in ms; Infinity: never. */
+	/** Time since the store last confirmed the list of targets, in ms; Infinity if it never did. */
 	targetListAgeMs(): number
-	/** True where the target is used although the store no longer lists it. */
+	/** True if the target is used although the store no longer lists it. */
 	isExpired(target: TargetName): boolean
-	/** A target said in an answer that it leaves, which is news to this box. */
+	/** Called when a response reports for the first time that its target is leaving. */
 	onTargetLeaving(target: TargetEntry): void
-	/** Looks for headers of an answer that are not known. */
+	/** Reports unknown headers of responses. */
 	readonly unknownHeaders: UnknownHeaders
-	/** A target named a rate in an answer, or no longer does (undefined); `isNews`: another than this box knew. */
-	onTargetRate(target: TargetEntry, perSecond: number | undefined, isNews: boolean): void
+	/**
+	 * Called when a response states the rate limit of its target; undefined if it no longer does. `hasChanged` tells
+	 * if the rate differs from the known one.
+	 */
+	onTargetRate(target: TargetEntry, perSecond: number | undefined, hasChanged: boolean): void
 	retryBudget(service: ServiceName): RetryBudget
-	/** By how much the timers of this process are late, in ms. */
+	/** Sustained delay of the event loop, in ms. */
 	sustainedDelayMs(): number
-	/** How long what this process reads now may have waited to be read, in ms. */
+	/** Current delay of the event loop, in ms: input may have waited that long before it is read. */
 	currentDelayMs(): number
-	/** Boxes that share what is limited for the fleet; an estimate, never 0. */
+	/** Estimated number of boxes that share the limits of the fleet; never 0. */
 	boxCount(): number
 }
--- a/packages/gateway/src/lib/GatewayOptions.ts
+++ b/packages/gateway/src/lib/GatewayOptions.ts
@@ -13,56 +13,58 @@
 import type { StoreLayout } from './StoreLayout.js'
 import type { ListenAddress } from './listenOn.js'
 
-/** Ports that a gateway listens on. */
 export interface GatewayPorts {
 	readonly callers: number
 	readonly readiness: number
 }
 
-/** All that a gateway is made of. @public */
+/** Settings and dependencies of a gateway. @public */
 export interface GatewayOptions {
 	readonly box: BoxName
 	readonly zone: ZoneName
-	/** The region of a zone; undefined where it is not known. */
+	/** Region of a zone; undefined if unknown. */
 	readonly regionOf: (zone: ZoneName) => RegionName | undefined
-	/** Processor time that this box may use, in cores. */
+	/** CPU time that this box may use, in cores. */
 	readonly cores: number
-	/** A new value for each start of the process. */
+	/** Unique for each start of the process. */
 	readonly incarnation: Incarnation
 	readonly listen: {
 		readonly callers: ListenAddress
 		readonly readiness: ListenAddress
-		/** For other boxes only. */
+		/** For requests of other boxes. */
 		readonly peers: ListenAddress
 	}
 	readonly store: StoreConnection
-	/** The fleet as a whole starts for the first time: no process of any box ran before. */
+	/** The whole fleet starts for the first time: no box has ever run. */
 	readonly isFirstStart: boolean
-	/** Reads a second that the store takes of all boxes together. */
+	/** Reads per second that the store accepts from all boxes together. */
 	readonly storeReadsPerSecond: number
 	readonly storeLayout: StoreLayout
 	readonly dialect: Dialect
 	readonly retryLimits: RetryLimits
-	/** What the fleet may send to a target that has just started. */
+	/** Limits on the requests of the fleet to a target that has just started. */
 	readonly coldLimits: ColdLimits
-	/** Time in which a new configuration has to be in force on every box, in ms. */
+	/** Time in which every box must apply a new configuration, in ms. */
 	readonly configurationPropagationLimitMs: number
-	/** Time from the end of a disturbance after which a box must keep to what the store says, in ms. */
+	/** Time from the end of a fault in which a box must have caught up with the store, in ms. */
 	readonly contactMs: number
-	/** Time between the order to stop and the kill, in ms. */
+	/** Time between the signal to stop and the kill, in ms. */
 	readonly shutdownGraceMs: number
 	readonly metrics: Metrics
 	readonly log: (event: LogEvent) => void
-	/** Steady clock, in ms: stands still while the machine is suspended, and never runs ahead. For work, rates and promises on money. */
+	/**
+	 * Monotonic clock, in ms: stops while the machine is suspended and never runs fast. For load, rates and spending
+	 * promises.
+	 */
 	readonly now: () => number
 	/**
-	 * Clock that counts suspended time, in ms; it may run ahead, never behind. For ages of beliefs, graces, and the time
-	 * of callers.
+	 * Clock that includes suspended time, in ms; it may run fast, never slow. For the age of data, grace periods and
+	 * the deadlines of callers.
 	 */
 	readonly suspendAwareNow: () => number
-	/** Time of day, in ms; it may jump. */
+	/** Wall clock, in ms; it may jump. */
 	readonly wallTime: () => number
-	/** Time since this process started, in ms; at most so much in truth. */
+	/** Time since this process started, in ms; never more than the true value. */
 	readonly aliveMs: () => number
 	readonly random: () => number
 }
--- a/packages/gateway/src/lib/GatewayReport.ts
+++ b/packages/gateway/src/lib/GatewayReport.ts
@@ -14,92 +14,85 @@
 import type { TargetDirectory } from './TargetDirectory.js'
 import { roundAge } from './roundAge.js'
 
-/** What a {@link GatewayReport} reads. */
+/** Sources of a {@link GatewayReport}. */
 export interface GatewayReportSources {
 	readonly context: GatewayContext
 	readonly registry: TargetRegistry
 	readonly targets: TargetDirectory
 	readonly feed: FeedRelay
-	/** Era of the store, as far as this box knows. */
+	/** Era of the store that this box knows. */
 	readonly storeEra: () => number
 	readonly membership: FleetMembership
 	readonly allowance: AllowanceClient
 	readonly loopDelay: EventLoopDelay
-	/** Prefixes of the configuration and of the list of targets. */
+	/** Prefix of the configuration in the store. */
 	readonly configPrefix: string
+	/** Prefix of the list of targets in the store. */
 	readonly targetsPrefix: string
-	/** Requests under way. */
+	/** Requests in flight. */
 	readonly openRequests: () => number
-	/** This box can serve callers. */
+	/** True if this box can serve callers. */
 	readonly isReady: () => boolean
 }
 
-/** A cordoned zone, as a box tells it. @public */
+/** A cordoned zone in the status of a box. @public */
 export interface CordonStatus {
 	readonly zone: ZoneName
-	/** Time since this box learned of it, in ms. */
+	/** Time since this box learned of the cordon, in ms. */
 	readonly ageMs: number
 }
 
-/** What a box tells operators of itself. @public */
+/** The status of a box, for operators. @public */
 export interface GatewayStatus {
 	readonly box: BoxName
 	readonly zone: ZoneName
 	readonly ready: boolean
-	/** Version of the configuration in force; -1: none. */
+	/** Version of the active configuration; -1 if there is none. */
 	readonly configuration: number
-	/** Time since the store last vouched for the configuration and the cordons, in ms; -1: never. */
+	/** Time since the store last confirmed the configuration and the cordons, in ms; -1 if it never did. */
 	readonly configurationWordAgeMs: number
-	/** Era of the store that this box knows; 0: none was named. */
+	/** Era of the store that this box knows; 0 if the store has stated none. */
 	readonly storeEra: number
-	/** Store revision of the configuration in force, with its era; empty: none. */
+	/** Store revision and era of the active configuration; empty if there is none. */
 	readonly configurationRevision: string
 	readonly targets: number
 	readonly coldTargets: number
 	readonly cordonedZones: readonly CordonStatus[]
-	/** Targets that get less work of this box, or none, because of what they said of themselves. */
+	/** Targets that get less work or none, because of what their responses report. */
 	readonly noticedTargets: readonly TargetNoticeStatus[]
-	/** Requests that end their targets, and aren't sent to any. */
+	/** Requests that crash their targets and are not sent to any. */
 	readonly quarantined: readonly QuarantineStatus[]
-	/** Requests under way. */
+	/** Requests in flight. */
 	readonly open: number
 }
 
-/** Figures of a gateway that are read rather than counted. */
+/** Builds the status document and the gauges of a gateway. */
 export class GatewayReport {
 	constructor(private readonly sources: GatewayReportSources) {}
 
 	status(): GatewayStatus {
-		const { registry: board, context, openRequests: open, isReady: ready, storeEra } = this.sources
+		const { registry, context, openRequests, isReady, storeEra } = this.sources
 		const now = context.now()
 		return {
 			box: context.box,
 			zone: context.zone,
-			ready: ready(),
+			ready: isReady(),
 			configuration: context.traffic?.index.config.version ?? -1,
 			configurationWordAgeMs: this.configurationAgeMs,
 			storeEra: storeEra(),
 			configurationRevision: context.traffic ? describeRevision(context.traffic.revision) : '',
-			targets: board.size,
-			coldTargets: board.coldCount(now),
+			targets: registry.size,
+			coldTargets: registry.coldCount(now),
 			cordonedZones: this.cordonStatuses(now),
-			noticedTargets: board.noticeStatuses(now),
+			noticedTargets: registry.noticeStatuses(now),
 			quarantined: context.crashProtection.status,
-			open: open(),
+			open: openRequests(),
 		}
 	}
 
-	/** For the metrics, by name with labels. */
+	/** Gauges by metric name with labels. */
 	gauges(): Record<string, number> {
-		const {
-			allowance,
-			context,
-			feed,
-			loopDelay,
-			membership: roster,
-			targets,
-			targetsPrefix,
-		} = this.sources
+		const { allowance, context, feed, loopDelay, membership, targets, targetsPrefix } = this.sources
 		const { traffic } = context
 		const status = this.status()
 		const gauges: Record<string, number> = {
@@ -128,7 +121,7 @@
 			stallwing_configuration_word_age_ms: status.configurationWordAgeMs,
 			stallwing_ready: status.ready ? 1 : 0,
 			stallwing_loop_delay_ms: Math.round(loopDelay.sustainedMs),
-			stallwing_boxes: roster.size,
+			stallwing_boxes: membership.size,
 		}
 		for (const { zone, ageMs } of status.cordonedZones)
 			gauges[`stallwing_zone_cordoned_age_ms{zone="${zone}"}`] = ageMs
@@ -147,10 +140,10 @@
 	}
 
 	private cordonStatuses(now: number): readonly CordonStatus[] {
-		const { registry: board } = this.sources
-		return board.cordonedZones.map((zone) => ({
+		const { registry } = this.sources
+		return registry.cordonedZones.map((zone) => ({
 			zone,
-			ageMs: Math.round(board.cordonAgeMs(zone, now) ?? 0),
+			ageMs: Math.round(registry.cordonAgeMs(zone, now) ?? 0),
 		}))
 	}
 
--- a/packages/gateway/src/lib/ReadinessServer.ts
+++ b/packages/gateway/src/lib/ReadinessServer.ts
@@ -2,7 +2,7 @@
 import type { LogEvent } from '@stallwing/core'
 import { listenOn, type ListenAddress } from './listenOn.js'
 
-/** Tells the balancer whether this box takes new callers. */
+/** Health check for the load balancer: responds 200 if this box accepts callers, 503 otherwise. */
 export class ReadinessServer {
 	private readonly server: Server
 	private wasReady = false
@@ -17,7 +17,7 @@
 		})
 	}
 
-	/** Listens and gives the port. Rejects where the address can't be had. */
+	/** Listens and returns the port. Rejects if the address cannot be listened on. */
 	listen(address: ListenAddress): Promise<number> {
 		return listenOn(this.server, address)
 	}
--- a/packages/gateway/src/lib/Refusal.ts
+++ b/packages/gateway/src/lib/Refusal.ts
@@ -1,22 +1,22 @@
 /**
- * Answers that the gateway gives by itself.
+ * Reasons for which the gateway itself refuses a request.
  *
- * It has not run, and will not:
- * - `malformed`, `header-too-large`, `body-too-large`, `no-route`, `no-key`: the request is at fault.
- * - `body-late`: the body did not come in time.
- * - `not-configured`: this box knows no configuration yet.
- * - `configuration-old`: the configuration of this box does not allow it, and may be out of date.
- * - `budget-spent`: what is left of the budget can't hold the request.
- * - `budget-unknown`: this box holds too little of the budget and can't draw more now.
- * - `no-target`: no target could take it.
- * - `stopping`: this box ends soon; what begins now might be cut off.
- * - `overloaded`: this box is late with what it has; another one may be free.
- * - `too-late`: too little time is left to begin.
- * - `quarantined`: targets ended under this request, here or at other boxes.
+ * The request has not run and will not:
+ * - `malformed`, `header-too-large`, `body-too-large`, `no-route`, `no-key`: the request is invalid.
+ * - `body-late`: the body did not arrive in time.
+ * - `not-configured`: this box has no configuration yet.
+ * - `configuration-old`: the configuration of this box does not allow the request and may be out of date.
+ * - `budget-spent`: the remaining budget does not cover the request.
+ * - `budget-unknown`: this box holds too few tokens of the budget and cannot draw more now.
+ * - `no-target`: no target could accept the request.
+ * - `stopping`: this box is shutting down and might not finish the request.
+ * - `overloaded`: this box is overloaded; another one may have capacity.
+ * - `too-late`: too little time is left to start.
+ * - `quarantined`: targets crashed while running this request, at this box or at others.
  *
- * It may have run:
- * - `target-failed`: a target was asked, and no whole answer came.
- * - `timed-out`: the time of the route or of the caller is over.
+ * The request may have run:
+ * - `target-failed`: the request was sent to a target, and no complete response arrived.
+ * - `timed-out`: the time limit of the route or of the caller has passed.
  */
 export type RefusalKind =
 	| 'malformed'
@@ -37,15 +37,15 @@
 	| 'target-failed'
 	| 'timed-out'
 
-/** An answer of our own, with what a log reader needs to know. */
+/** A refusal, with details for the log. */
 export interface Refusal {
 	readonly kind: RefusalKind
 	readonly detail: string
-	/** When to come back; undefined where coming back does not help. */
+	/** Delay before a retry, in ms; undefined if a retry cannot succeed. */
 	readonly retryAfterMs: number | undefined
 }
 
-/** Refusals after which a caller may come back with the same request. */
+/** Refusals after which a caller may retry the same request. */
 const RETRYABLE_KINDS: ReadonlySet<RefusalKind> = new Set([
 	'not-configured',
 	'configuration-old',
@@ -57,22 +57,23 @@
 	'quarantined',
 ])
 
-/** Pause that a caller is asked for at least, and the spread that keeps callers apart. */
+/** Minimum delay before a retry. */
 const MIN_RETRY_AFTER_MS = 100
+/** Random part of the delay, so that callers do not retry together. */
 const RETRY_AFTER_JITTER_MS = 200
 
 /**
- * Makes a refusal; `random` in [0, 1) spreads the callers that come back, who are asked to wait for `opensInMs` at
- * least: before that time it is known to be in vain.
+ * Creates a refusal. `random` in [0, 1) spreads the retries; a retry is known to fail before `availableInMs` has
+ * passed.
  */
 export function createRefusal(
 	kind: RefusalKind,
 	detail: string,
 	random: number,
-	opensInMs = 0,
+	availableInMs = 0,
 ): Refusal {
 	const retryAfterMs = RETRYABLE_KINDS.has(kind)
-		? Math.round(Math.max(MIN_RETRY_AFTER_MS, opensInMs) + random * RETRY_AFTER_JITTER_MS)
+		? Math.round(Math.max(MIN_RETRY_AFTER_MS, availableInMs) + random * RETRY_AFTER_JITTER_MS)
 		: undefined
 	return { kind, detail, retryAfterMs }
 }
--- a/packages/gateway/src/lib/RequestContent.ts
+++ b/packages/gateway/src/lib/RequestContent.ts
@@ -2,7 +2,10 @@
 import type { CallerRequest } from './CallerRequest.js'
 import { requestFingerprint } from './requestFingerprint.js'
 
-/** What a request asks for, whoever sends it again: a cheap hint of it at once, a hash of it all when asked for. */
+/**
+ * Identifies the content of a request independently of its sender: a cheap hash at once, a cryptographic one on
+ * demand.
+ */
 export class RequestContent implements RequestIdentity {
 	readonly hint: number
 	private cachedFingerprint: RequestFingerprint | undefined
--- a/packages/gateway/src/lib/ResponseWriter.ts
+++ b/packages/gateway/src/lib/ResponseWriter.ts
@@ -6,30 +6,30 @@
 
 const SECOND_MS = 1_000
 
-/** Writes one answer to a caller. */
+/** Writes one response to a caller. */
 export class ResponseWriter {
-	/** The head of a stream has left: what follows must go on with it, or break off. */
+	/** The head of a stream has been sent: the stream can only be continued or aborted. */
 	isStreamStarted = false
-	/** Number of the last event that was passed on. */
+	/** Id of the last event sent. */
 	lastEventId: number | undefined
-	/** The end of the stream will be told apart from a broken connection. */
+	/** The caller can tell the end of the stream from a broken connection. */
 	isSelfDelimiting = true
-	/** Events passed on. */
+	/** Events sent. */
 	eventCount = 0
-	/** When the answer, or the first event of a stream, was passed on; undefined until then. */
+	/** Time at which the complete response or the first event was sent; undefined until then. */
 	firstWriteAt: number | undefined
-	/** Longest time between two events, in ms. */
+	/** Longest time between two consecutive events, in ms. */
 	maxEventGapMs = 0
 	private lastEventAt = 0
 
 	constructor(
 		private readonly response: ServerResponse,
 		private readonly isStopping: () => boolean,
-		/** Steady clock, in ms. */
+		/** Current time, in ms. */
 		private readonly now: () => number,
 	) {}
 
-	/** Passes on a whole answer of a target. */
+	/** Forwards a complete response of a target. */
 	sendComplete(head: ResponseHead, body: Buffer): void {
 		this.firstWriteAt = this.now()
 		const headers = responseHeadersToForward(head.rawHeaders)
@@ -39,7 +39,7 @@
 		this.response.end(body)
 	}
 
-	/** Passes on the head of a stream. */
+	/** Forwards the head of a stream. */
 	startStream(head: ResponseHead): void {
 		this.isStreamStarted = true
 		this.isSelfDelimiting = isSelfDelimiting(head)
@@ -49,7 +49,7 @@
 		this.response.flushHeaders()
 	}
 
-	/** Passes on one event. False: the caller reads slowly; wait for {@link onDrain}. */
+	/** Forwards one event. Returns false if the caller reads too slowly; then wait for {@link onDrain}. */
 	sendEvent(event: StreamEvent): boolean {
 		this.eventCount++
 		this.recordEventTime()
@@ -64,7 +64,7 @@
 		this.lastEventAt = now
 	}
 
-	/** Calls back once the caller has read what was written. */
+	/** Calls back once the buffered data has been written. */
 	onDrain(callback: () => void): void {
 		this.response.once('drain', callback)
 	}
@@ -73,8 +73,11 @@
 		this.response.end()
 	}
 
-	/** Answers by ourselves. The body names the reason; the status carries the promise. */
-	sendRefusal(status: number, refusal: Refusal, requestRead: boolean): void {
+	/**
+	 * Sends an error response of the gateway. Its status says whether the request may have run, its body why it
+	 * failed.
+	 */
+	sendRefusal(status: number, refusal: Refusal, isRequestRead: boolean): void {
 		if (this.response.headersSent) {
 			this.destroy()
 			return
@@ -85,19 +88,19 @@
 		const headers = ['Content-Type', 'application/json', 'Content-Length', String(body.length)]
 		if (refusal.retryAfterMs !== undefined)
 			headers.push('Retry-After', (refusal.retryAfterMs / SECOND_MS).toFixed(3))
-		if (!requestRead) headers.push('Connection', 'close')
+		if (!isRequestRead) headers.push('Connection', 'close')
 		this.writeHead(status, headers)
 		this.response.end(body)
 	}
 
-	/** Breaks off, so that the answer does not look whole. */
+	/** Closes the connection, so that the response does not look complete. */
 	destroy(): void {
 		this.response.destroy()
 	}
 
 	/**
-	 * An answer without a length ends with its connection: nobody can tell whether it is whole. It must
-	 * not get a frame here that says it is.
+	 * Ends the body with the connection, as the target does. Any other framing would claim that the body is complete,
+	 * which the close of the target's connection does not prove.
 	 */
 	private delimitByClose(headers: string[]): void {
 		this.response.useChunkedEncodingByDefault = false
@@ -111,7 +114,7 @@
 	}
 }
 
-/** True where the target tells the end of its answer otherwise than by closing the connection. */
+/** True if a length, chunked encoding or the status marks the end of the body, not the close of the connection. */
 export function isSelfDelimiting(head: ResponseHead): boolean {
 	if (!mayHaveBody(head.status)) return true
 	const { headers } = head
--- a/packages/gateway/src/lib/ServiceLimits.test.ts
+++ b/packages/gateway/src/lib/ServiceLimits.test.ts
@@ -1,9 +1,6 @@
 /**
- * What would be seen: a target resets connections, and requests on them may have run, although each box keeps to its
- * part of the connections that the target takes from all boxes.
- * How it comes about: more boxes than connections; each has room for one all the same.
- * Cause: a bound over all boxes that each kept for itself, by a part that is one at least.
- * Proof: counted over all boxes, with 75 and 499 of them.
+ * With more boxes than allowed connections, each box used to open at least one, and the target reset the excess,
+ * whose requests may have run. Counts the connections over all boxes.
  */
 import { brandId, type BoxName, type ServiceName, type TargetName } from '@stallwing/core'
 import { describe, expect, it } from 'vitest'
@@ -11,11 +8,15 @@
 
 const SERVICE = brandId<ServiceName>('service')
 const TARGETS = Array.from({ length: 20 }, (_, i) => brandId<TargetName>(`t${i}`))
-/** Connections of a box to a target that nobody would go beyond. */
-const MANY = 1_000
+/** Upper bound on the connections that the test opens per box. */
+const MAX_OPENED = 1_000
 
 /** Connections that all boxes together may open to a target. */
-function connectionsOf(target: TargetName, boxes: readonly BoxName[], most: number): number {
+function connectionsOf(
+	target: TargetName,
+	boxes: readonly BoxName[],
+	maxConnections: number,
+): number {
 	let sum = 0
 	for (const self of boxes) {
 		let inUse = 0
@@ -23,12 +24,12 @@
 			self,
 			pools: { inUse: () => inUse },
 			serviceOf: () => SERVICE,
-			maxConnections: () => most,
-			lowestMaxConnections: () => most,
+			maxConnections: () => maxConnections,
+			lowestMaxConnections: () => maxConnections,
 			boxCount: () => boxes.length,
 			boxNames: () => boxes,
 		})
-		while (inUse < MANY && !limits.isAtConnectionLimit(target)) inUse++
+		while (inUse < MAX_OPENED && !limits.isAtConnectionLimit(target)) inUse++
 		sum += inUse
 	}
 	return sum
@@ -43,19 +44,19 @@
 		[499, 610],
 		[499, 1],
 	])(
-		'of %i boxes stay within the %i that it takes from all, and use half of them',
-		(count, most) => {
+		'of %i boxes stay within the limit of %i and use at least half of it',
+		(count, maxConnections) => {
 			const boxes = Array.from({ length: count }, (_, i) => brandId<BoxName>(`box-${i}`))
 			for (const target of TARGETS) {
-				const connections = connectionsOf(target, boxes, most)
-				expect(connections).toBeLessThanOrEqual(most)
-				expect(connections).toBeGreaterThanOrEqual(most / 2)
+				const connections = connectionsOf(target, boxes, maxConnections)
+				expect(connections).toBeLessThanOrEqual(maxConnections)
+				expect(connections).toBeGreaterThanOrEqual(maxConnections / 2)
 			}
 		},
 	)
 
-	it('are bounded for no box where the service states no bound', () => {
+	it('are unlimited if the service sets no limit', () => {
 		const boxes = [brandId<BoxName>('box-0')]
-		expect(connectionsOf(brandId<TargetName>('t'), boxes, Infinity)).toBe(MANY)
+		expect(connectionsOf(brandId<TargetName>('t'), boxes, Infinity)).toBe(MAX_OPENED)
 	})
 })
--- a/packages/gateway/src/lib/StoreLayout.ts
+++ b/packages/gateway/src/lib/StoreLayout.ts
@@ -2,21 +2,21 @@
 import type { StoreItem, UnreadableDocument } from '@stallwing/store'
 import type * as E from 'fp-ts/lib/Either.js'
 
-/** Where the documents lie in the store, and how they are read. */
+/** Keys and parsers of the documents in the store. */
 export interface StoreLayout {
 	readonly configPrefix: string
 	readonly configKey: string
-	/** Below it lies one item for each zone that takes no new work. Below `configPrefix` itself. */
+	/** Prefix of one item for each cordoned zone, which takes no new work. Lies below `configPrefix`. */
 	readonly cordonPrefix: string
 	readonly targetsPrefix: string
 	readonly allowanceKey: string
-	/** Below it lies one record for each box. */
+	/** Prefix of one record of token spending for each box. */
 	readonly markPrefix: string
-	/** Below it lies one item for each box of the fleet. */
+	/** Prefix of one item for each box of the fleet. */
 	readonly boxPrefix: string
-	/** Keys of boxes and of quarantined requests begin so: one listing brings both. */
+	/** Common prefix of `boxPrefix` and `quarantineKey`, so that a single listing returns both. */
 	readonly fleetPrefix: string
-	/** Requests that end their targets. */
+	/** Document of the quarantined requests, which crash their targets. */
 	readonly quarantineKey: string
 	readConfig(value: Buffer): E.Either<UnreadableDocument, TrafficConfig>
 	readTarget(item: StoreItem): E.Either<UnreadableDocument, TargetEntry>
--- a/packages/gateway/src/lib/TargetPools.ts
+++ b/packages/gateway/src/lib/TargetPools.ts
@@ -2,13 +2,13 @@
 import { ConnectionPool, type PoolTimeouts } from './ConnectionPool.js'
 
 const POOL_TIMEOUTS: PoolTimeouts = {
-	connectMs: 300,
-	settleMs: 20,
-	idleMs: 1_500,
-	idleMarginMs: 1_000,
+	connectTimeoutMs: 300,
+	reuseDelayMs: 20,
+	defaultIdleTimeoutMs: 1_500,
+	idleTimeoutMarginMs: 1_000,
 }
 
-/** The connections of this box, by target. An address may belong to another target later. */
+/** The connection pools of this box, by target. Another target may reuse an address later, so the name is the key. */
 export class TargetPools {
 	private readonly pools = new Map<TargetName, ConnectionPool>()
 
@@ -18,36 +18,35 @@
 	) {}
 
 	poolFor(target: TargetEntry): ConnectionPool {
-		const known = this.pools.get(target.name)
-		if (known) return known
+		const existing = this.pools.get(target.name)
+		if (existing) return existing
 		const pool = new ConnectionPool(target.address, POOL_TIMEOUTS, this.now, this.onOpened)
 		this.pools.set(target.name, pool)
 		return pool
 	}
 
-	/** Connections on which a request is under way. */
+	/** Connections that serve a request. */
 	inUse(target: TargetName): number {
 		const pool = this.pools.get(target)
 		return pool ? pool.size - pool.idleCount : 0
 	}
 
-	/** True where a connection is open that nothing uses. */
 	hasIdleConnection(target: TargetName): boolean {
 		return (this.pools.get(target)?.idleCount ?? 0) > 0
 	}
 
-	/** Closes idle connections to a target; requests that are under way there end undisturbed. */
+	/** Closes idle connections to a target; requests in flight are not affected. */
 	closeIdle(target: TargetName): void {
 		this.pools.get(target)?.closeIdle()
 	}
 
-	/** Lets go of a target that gets no new work. */
+	/** Removes the pool of a target that gets no new work. */
 	remove(target: TargetName): void {
 		this.pools.get(target)?.close()
 		this.pools.delete(target)
 	}
 
-	/** Closes connections that have rested too long. */
+	/** Closes idle connections that have expired. */
 	closeExpired(): void {
 		for (const pool of this.pools.values()) pool.closeExpired()
 	}
--- a/packages/gateway/src/lib/TimeLimit.test.ts
+++ b/packages/gateway/src/lib/TimeLimit.test.ts
@@ -10,24 +10,24 @@
 	beforeEach(() => vi.useFakeTimers({ now: 1_000 }))
 	afterEach(() => vi.useRealTimers())
 
-	it('goes by the earlier of the limits of the route and the caller, from the arrival on', () => {
+	it('uses the earlier limit of route and caller, counted from the arrival', () => {
 		const limit = new TimeLimit(() => Date.now(), 900)
 		expect(limit.elapsedMs).toBe(100)
 		expect(limit.remainingMs(requestOf(500))).toBe(400)
 		expect(limit.remainingMs(requestOf(500, 300))).toBe(200)
 	})
 
-	it('calls back just before the limit, at once where it is over, and not once stopped', () => {
-		const called: string[] = []
+	it('calls back shortly before the limit, immediately if it has passed, and never once stopped', () => {
+		const calls: string[] = []
 		const limit = new TimeLimit(() => Date.now(), 900)
-		limit.start(requestOf(500), () => called.push('limit'))
-		new TimeLimit(() => Date.now(), 0).start(requestOf(500), () => called.push('over'))
+		limit.start(requestOf(500), () => calls.push('limit'))
+		new TimeLimit(() => Date.now(), 0).start(requestOf(500), () => calls.push('over'))
 		const stopped = new TimeLimit(() => Date.now(), 900)
-		stopped.start(requestOf(500), () => called.push('stopped'))
+		stopped.start(requestOf(500), () => calls.push('stopped'))
 		stopped.stop()
 		vi.advanceTimersByTime(394)
-		expect(called).toEqual(['over'])
+		expect(calls).toEqual(['over'])
 		vi.advanceTimersByTime(1_000)
-		expect(called).toEqual(['over', 'limit'])
+		expect(calls).toEqual(['over', 'limit'])
 	})
 })
--- a/packages/gateway/src/lib/UnknownHeaders.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.ts
@@ -3,21 +3,21 @@
 import type { Dialect, HeaderNames } from './Dialect.js'
 import type { ResponseHead } from './sendToTarget.js'
 
-/** What {@link UnknownHeaders} works with. */
+/** Dependencies of {@link UnknownHeaders}. */
 export interface UnknownHeadersOptions {
 	readonly dialect: Pick<Dialect, 'headers' | 'ownHeader' | 'unreadHeaders'>
 	readonly metrics: Metrics
 	readonly log: (event: LogEvent) => void
 }
 
-/** Names that are remembered; what comes beyond is not looked at. */
+/** Number of names that are recorded; further ones are ignored. */
 const MAX_RECORDED_NAMES = 50
-/** Characters of a name and a value that a log line holds. */
+/** Characters of a name and of a value in a log event. */
 const MAX_LOGGED_CHARS = 80
 
 /**
- * Headers by which targets speak and that this version does not know: each name is counted and logged once, so that a
- * new word of the platform shows in a log before it shows in what goes wrong because nobody reads it.
+ * Reports platform headers that this version does not know. Counts and logs each name once, so that a protocol change
+ * is visible before ignoring it causes a failure.
  */
 export class UnknownHeaders {
 	private readonly known: ReadonlySet<string>
@@ -25,10 +25,10 @@
 
 	constructor(private readonly options: UnknownHeadersOptions) {
 		const { headers, unreadHeaders } = options.dialect
-		this.known = new Set([...namesOf(headers), ...unreadHeaders])
+		this.known = new Set([...headerNamesOf(headers), ...unreadHeaders])
 	}
 
-	/** Looks through the head of an answer. */
+	/** Checks the headers of a response. */
 	inspect({ headers }: ResponseHead, target: TargetEntry): void {
 		const { log, metrics } = this.options
 		for (const name in headers) {
@@ -52,6 +52,6 @@
 	}
 }
 
-function namesOf({ leaving, ...names }: HeaderNames): readonly string[] {
+function headerNamesOf({ leaving, ...names }: HeaderNames): readonly string[] {
 	return [...Object.values(names), leaving.header]
 }
--- a/packages/gateway/src/lib/applyTargetNotice.ts
+++ b/packages/gateway/src/lib/applyTargetNotice.ts
@@ -12,23 +12,23 @@
 import { roundAge } from './roundAge.js'
 import type { BackoffNotice, RateNotice, TargetNotice } from './readTargetNotice.js'
 
-/** The attempt whose answer speaks. */
+/** An attempt with a response head. */
 interface AnsweredAttempt {
 	readonly handle: AttemptHandle
-	readonly place: Placement
+	readonly placement: Placement
 	readonly request: CallerRequest
 }
 
 /**
- * Takes what a target says of itself to the board, from the head of any answer on: the list may be out of date while
- * the store is away, and a target that turns requests away at once would look the cheapest of all.
+ * Applies what a response head reports about its target, whatever its status. The list of targets may be outdated
+ * while the store is unavailable, and a target that rejects requests quickly would otherwise look the cheapest.
  */
 export function applyTargetNotice(
 	context: GatewayContext,
 	attempt: AnsweredAttempt,
 	notice: TargetNotice,
 ): void {
-	const { handle, place } = attempt
+	const { handle, placement } = attempt
 	const now = context.now()
 	if (notice.load) handle.noteLoad(notice.load, now)
 	if (notice.coldMs !== undefined) handle.noteCold(notice.coldMs, now)
@@ -36,7 +36,7 @@
 	applyRate(context, attempt, notice.rate, now)
 	if (!notice.leaving || !handle.noteLeaving(now)) return
 	logNotice(context, attempt, 'target-said-leaving', {})
-	context.onTargetLeaving(place.target)
+	context.onTargetLeaving(placement.target)
 }
 
 function applyBackoff(
@@ -62,9 +62,8 @@
 }
 
 /**
- * Takes the requests a second that a target names for all boxes together. A target in need bears little beyond them,
- * and without this word it looks the cheapest of all, for it has little work: seven boxes then sent it ten times what it
- * named (`targetRates.test.ts`).
+ * Applies the rate limit that a target states for all boxes together. Without it, an overloaded target has little
+ * work and looks the cheapest.
  */
 function applyRate(
 	context: GatewayContext,
@@ -78,14 +77,14 @@
 		case 'none': {
 			if (!attempt.handle.noteRate(undefined, now)) return
 			logNotice(context, attempt, 'target-rate-ended', {})
-			context.onTargetRate(attempt.place.target, undefined, true)
+			context.onTargetRate(attempt.placement.target, undefined, true)
 			return
 		}
 		case 'named': {
 			const { perSecond } = rate
-			const isNews = attempt.handle.noteRate(perSecond, now)
-			if (isNews) logNotice(context, attempt, 'target-named-rate', { perSecond })
-			context.onTargetRate(attempt.place.target, perSecond, isNews)
+			const hasChanged = attempt.handle.noteRate(perSecond, now)
+			if (hasChanged) logNotice(context, attempt, 'target-named-rate', { perSecond })
+			context.onTargetRate(attempt.placement.target, perSecond, hasChanged)
 			return
 		}
 		case 'unreadable':
@@ -99,11 +98,11 @@
 
 function logNotice(
 	context: GatewayContext,
-	{ place, request }: AnsweredAttempt,
+	{ placement, request }: AnsweredAttempt,
 	name: LogEventName,
 	facts: Readonly<Record<string, LogValue>>,
 ): void {
-	const { target } = place
+	const { target } = placement
 	context.metrics.count('stallwing_target_notices_total', `event="${name}"`)
 	context.log({
 		name,
--- a/packages/gateway/src/lib/buildTargetRequest.ts
+++ b/packages/gateway/src/lib/buildTargetRequest.ts
@@ -3,20 +3,20 @@
 import type { Dialect } from './Dialect.js'
 import type { TargetRequest } from './sendToTarget.js'
 
-/** The request as a target gets it: method, path and body as they came, with the fleet's headers. */
+/** Builds the request for a target: method, path and body unchanged, with the headers that the fleet adds. */
 export function buildTargetRequest(
 	request: CallerRequest,
 	dialect: Dialect,
 	target: TargetName,
 	body: Buffer,
-	leftMs: number,
-	resumeAfter: number | undefined,
+	remainingMs: number,
+	resumeAfterEventId: number | undefined,
 ): TargetRequest {
 	const names = dialect.headers
 	const headers = [
 		...request.headers,
 		names.deadline,
-		String(leftMs),
+		String(remainingMs),
 		names.expectedTarget,
 		target,
 		names.rank,
@@ -25,14 +25,15 @@
 		'keep-alive',
 	]
 	if (request.account) headers.push(names.account, request.account.name)
-	const lastEvent = resumeAfter === undefined ? request.lastEvent : String(resumeAfter)
-	if (lastEvent !== undefined) headers.push(names.lastEvent, lastEvent)
+	const lastEventId =
+		resumeAfterEventId === undefined ? request.lastEventId : String(resumeAfterEventId)
+	if (lastEventId !== undefined) headers.push(names.lastEvent, lastEventId)
 	if (body.length > 0 || !isUsuallyBodyless(request.method))
 		headers.push('Content-Length', String(body.length))
 	return { method: request.method, path: request.path, headers, body }
 }
 
-/** Methods that carry no body unless one was sent. */
+/** Methods that usually have no body, and need no length then. */
 function isUsuallyBodyless(method: string): boolean {
 	return method === 'GET' || method === 'HEAD' || method === 'DELETE' || method === 'OPTIONS'
 }
--- a/packages/gateway/src/lib/chargeFor.ts
+++ b/packages/gateway/src/lib/chargeFor.ts
@@ -1,20 +1,20 @@
 import type { CallerRequest } from './CallerRequest.js'
 
-/** What came out for a request that was answered. */
+/** Output of a completed response. */
 export interface ResponseUsage {
-	/** Tokens of one event of the service's streams; undefined where that is not known. */
+	/** Tokens in one event of the streams of the service; undefined if unknown. */
 	readonly tokensPerEvent: number | undefined
-	/** One target made the whole answer, as a stream of events. */
-	readonly isOneStream: boolean
-	/** Events passed on. */
-	readonly events: number
+	/** A single target produced the whole response, as a stream of events. */
+	readonly isSingleStream: boolean
+	/** Events forwarded to the caller. */
+	readonly eventCount: number
 }
 
-/** Tokens that an answered request is charged; Infinity: all that was set aside for it, as nothing tells what came out. */
+/** Tokens to charge for a completed request. Infinity charges all reserved tokens, because the output is unknown. */
 export function chargeFor(
 	{ work }: Pick<CallerRequest, 'work'>,
-	{ events, isOneStream, tokensPerEvent }: ResponseUsage,
+	{ eventCount, isSingleStream, tokensPerEvent }: ResponseUsage,
 ): number {
-	if (!work || tokensPerEvent === undefined || !isOneStream) return Infinity
-	return work.inputTokens + Math.min(work.maxOutputTokens, events * tokensPerEvent)
+	if (!work || tokensPerEvent === undefined || !isSingleStream) return Infinity
+	return work.inputTokens + Math.min(work.maxOutputTokens, eventCount * tokensPerEvent)
 }
--- a/packages/gateway/src/lib/describeError.ts
+++ b/packages/gateway/src/lib/describeError.ts
@@ -1,4 +1,4 @@
-/** An error as a log line tells it. @public */
+/** Text of an error for the log, with its stack if it has one. @public */
 export function describeError(error: unknown): string {
 	return error instanceof Error ? (error.stack ?? error.message) : String(error)
 }
--- a/packages/gateway/src/lib/exchangeEvents.ts
+++ b/packages/gateway/src/lib/exchangeEvents.ts
@@ -12,29 +12,29 @@
 import type { GatewayContext, ActiveTraffic } from './GatewayContext.js'
 import { roundAge } from './roundAge.js'
 
-/** The line about the choice of a target: what decided it, and how old that was. */
+/** Log event for the choice of a target, with the data that decided it and its age. */
 export function targetChosenEvent(
 	context: GatewayContext,
 	request: CallerRequest,
 	traffic: ActiveTraffic,
-	place: Placement,
-	leftMs: number,
+	placement: Placement,
+	remainingMs: number,
 ): LogEvent {
 	return {
 		name: 'target-chosen',
 		fields: {
 			request: request.id,
-			target: place.target.name,
+			target: placement.target.name,
 			service: request.service,
-			costMs: Math.round(place.cost.ms),
-			expectedMs: Math.round(place.cost.expectedMs),
-			unreadTokens: Math.round(place.cost.prefillTokens),
-			candidates: place.candidates,
-			loadAgeMs: place.loadAgeMs,
-			targetRevision: describeRevision(place.target.revision),
+			costMs: Math.round(placement.cost.ms),
+			expectedMs: Math.round(placement.cost.expectedMs),
+			unreadTokens: Math.round(placement.cost.prefillTokens),
+			candidates: placement.candidates,
+			loadAgeMs: placement.loadAgeMs,
+			targetRevision: describeRevision(placement.target.revision),
 			targetListAgeMs: roundAge(context.targetListAgeMs()),
-			lapsed: context.isExpired(place.target.name),
-			leftMs: Math.round(leftMs),
+			lapsed: context.isExpired(placement.target.name),
+			leftMs: Math.round(remainingMs),
 			heldBack: describeRates(context.registry.exhaustedRateLimits(request.service, context.now())),
 			configuration: traffic.index.config.version,
 			configurationAgeMs: Math.round(context.suspendAwareNow() - traffic.since),
@@ -42,27 +42,29 @@
 	}
 }
 
-/** What decides whether an answer was in time: times since the arrival, and what the route aims at, in ms. */
+/**
+ * Log fields that show whether a response was in time: times since the arrival, and the goals of the route, in ms.
+ */
 export function responseTimes(
-	answer: ResponseWriter,
+	responseWriter: ResponseWriter,
 	route: Route,
 	arrivedAt: number,
 	firstSentAt: number | undefined,
 ): Readonly<Record<string, LogValue>> {
-	const { eventCount: events, firstWriteAt: firstAt, maxEventGapMs: longestPauseMs } = answer
+	const { eventCount, firstWriteAt, maxEventGapMs } = responseWriter
 	const sinceArrival = (at: number | undefined): number =>
 		at === undefined ? -1 : Math.round(at - arrivedAt)
 	return {
-		events,
+		events: eventCount,
 		sentMs: sinceArrival(firstSentAt),
-		firstMs: sinceArrival(firstAt),
+		firstMs: sinceArrival(firstWriteAt),
 		aimMs: route.latencyGoalMs,
-		longestPauseMs: Math.round(longestPauseMs),
+		longestPauseMs: Math.round(maxEventGapMs),
 		pauseAimMs: route.eventGapGoalMs ?? -1,
 	}
 }
 
-/** The line about the end of a request; `request` is undefined where its head could not be read. */
+/** Log event for the end of a request; `request` is undefined if its head could not be parsed. */
 export function requestEndEvent(
 	name: LogEventName,
 	request: CallerRequest | undefined,
@@ -77,11 +79,14 @@
 	return { name, fields }
 }
 
-/** The line about a stream that is taken up at another target after an event. */
+/** Log event for a stream that resumes at another target after the event `lastEventId`. */
 export function streamResumedEvent(
 	request: CallerRequest,
-	lastEvent: number | undefined,
+	lastEventId: number | undefined,
 	cause: string,
 ): LogEvent {
-	return { name: 'stream-resumed', fields: { request: request.id, after: lastEvent ?? -1, cause } }
+	return {
+		name: 'stream-resumed',
+		fields: { request: request.id, after: lastEventId ?? -1, cause },
+	}
 }
--- a/packages/gateway/src/lib/findUnavailability.ts
+++ b/packages/gateway/src/lib/findUnavailability.ts
@@ -2,24 +2,28 @@
 import { describeRates } from './describeRates.js'
 import type { GatewayContext } from './GatewayContext.js'
 
-/** Why no target takes a request, and when the first one will, in ms from now, as far as is known. */
+/** Why no target accepts a request, and the time until one will, in ms; undefined if unknown. */
 export interface Unavailability {
 	readonly detail: string
-	readonly opensInMs: number | undefined
+	readonly availableInMs: number | undefined
 }
 
-/** Pause asked for where all targets of a service lie in cordoned zones, in ms: operators take seconds at least. */
+/**
+ * Delay before a retry if all targets of a service are in cordoned zones, in ms. Operators take seconds to lift a
+ * cordon.
+ */
 const CORDON_RETRY_MS = 1_000
 
-/** Undefined where a target of the request's service, in a zone where it may run, takes new work. */
+/** Returns undefined if a target of the service accepts new work in a zone that the request may use. */
 export function findUnavailability(
-	{ registry: board, mayRunIn, now }: Pick<GatewayContext, 'registry' | 'mayRunIn' | 'now'>,
+	{ registry, mayRunIn, now }: Pick<GatewayContext, 'registry' | 'mayRunIn' | 'now'>,
 	request: CallerRequest,
 ): Unavailability | undefined {
-	const closed = board.closedCause(request.service, now(), (zone) => mayRunIn(zone, request))
+	const closed = registry.closedCause(request.service, now(), (zone) => mayRunIn(zone, request))
 	if (!closed) return undefined
-	const heldBack = closed.cause === 'rate' ? board.exhaustedRateLimits(request.service, now()) : []
-	const rates = heldBack.length > 0 ? ` (${describeRates(heldBack)})` : ''
-	const opensInMs = closed.cause === 'cordoned' ? CORDON_RETRY_MS : closed.opensInMs
-	return { detail: `${request.service}: ${closed.cause}${rates}`, opensInMs }
+	const exhaustedLimits =
+		closed.cause === 'rate' ? registry.exhaustedRateLimits(request.service, now()) : []
+	const rates = exhaustedLimits.length > 0 ? ` (${describeRates(exhaustedLimits)})` : ''
+	const availableInMs = closed.cause === 'cordoned' ? CORDON_RETRY_MS : closed.opensInMs
+	return { detail: `${request.service}: ${closed.cause}${rates}`, availableInMs }
 }
--- a/packages/gateway/src/lib/freePort.ts
+++ b/packages/gateway/src/lib/freePort.ts
@@ -1,6 +1,6 @@
 import { createServer, type AddressInfo } from 'node:net'
 
-/** For tests: a port of the loopback address that nothing listens on. */
+/** For tests: returns a free port of the loopback interface. */
 export function freePort(): Promise<number> {
 	return new Promise((resolve) => {
 		const server = createServer().listen(0, '127.0.0.1', () => {
--- a/packages/gateway/src/lib/isSuccess.ts
+++ b/packages/gateway/src/lib/isSuccess.ts
@@ -1,4 +1,3 @@
-/** True for the statuses of answers that succeeded. */
 export function isSuccess(status: number): boolean {
 	return status >= 200 && status < 300
 }
--- a/packages/gateway/src/lib/listenOn.ts
+++ b/packages/gateway/src/lib/listenOn.ts
@@ -1,13 +1,13 @@
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
-/** IP number and port to listen on; port 0 takes a free one. */
+/** IP address and port to listen on; port 0 selects a free one. */
 export interface ListenAddress {
 	readonly host: string
 	readonly port: number
 }
 
-/** Listens and gives the port. Rejects where the address can't be had. */
+/** Listens and returns the port. Rejects if the address cannot be listened on. */
 export async function listenOn(server: Server, address: ListenAddress): Promise<number> {
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject)
--- a/packages/gateway/src/lib/newGatewayIncarnation.ts
+++ b/packages/gateway/src/lib/newGatewayIncarnation.ts
@@ -1,6 +1,6 @@
 import { brandId, type Incarnation } from '@stallwing/core'
 
-/** A start of a process, told apart from all others by chance. @public */
+/** Random identifier for one start of a process. @public */
 export function newGatewayIncarnation(random: () => number): Incarnation {
 	return brandId<Incarnation>(Math.floor(random() * Number.MAX_SAFE_INTEGER).toString(36))
 }
--- a/packages/gateway/src/lib/nextEventLoopIteration.ts
+++ b/packages/gateway/src/lib/nextEventLoopIteration.ts
@@ -1,8 +1,8 @@
 import { setImmediate } from 'node:timers/promises'
 
 /**
- * Lets the process read what its sockets hold by now: one whole pass of the event loop. The first turn ends the
- * pass that is under way, the second comes after the next reading of all sockets.
+ * Waits for a full iteration of the event loop, in which all sockets are polled. The first `setImmediate` ends the
+ * current iteration, the second runs after the next poll.
  */
 export async function nextEventLoopIteration(): Promise<void> {
 	await setImmediate()
--- a/packages/gateway/src/lib/parseAddress.ts
+++ b/packages/gateway/src/lib/parseAddress.ts
@@ -1,7 +1,7 @@
 import { isIPv4 } from 'node:net'
 import type { ListenAddress } from './listenOn.js'
 
-/** Reads `IP:PORT`, as targets and boxes write their addresses; port 0 where it names none. */
+/** Parses `IP:PORT`; the port is 0 if there is none. */
 export function parseAddress(text: string): ListenAddress {
 	const [host = '', port = ''] = text.split(':')
 	return { host, port: Number(port) }
@@ -9,7 +9,7 @@
 
 const MAX_PORT = 65_535
 
-/** True where a text is an IP number and a port that can be connected to. */
+/** True if the text is an IPv4 address with a valid port. */
 export function isSocketAddress(text: string): boolean {
 	const colon = text.lastIndexOf(':')
 	const port = text.slice(colon + 1)
--- a/packages/gateway/src/lib/readTargetNotice.test.ts
+++ b/packages/gateway/src/lib/readTargetNotice.test.ts
@@ -20,20 +20,20 @@
 }
 
 describe('readTargetNotice', () => {
-	it('takes the word that a target leaves from answers of all kinds, also where it stands twice', () => {
+	it('reads the leaving header from responses of all statuses, also if repeated', () => {
 		for (const status of [200, 400, 429, 500, 503])
 			expect(read(status, { leaving: 'yes' }).leaving).toBe(true)
 		expect(read(200, { leaving: 'yes, yes' }).leaving).toBe(true)
 		expect(read(200, { leaving: ['no', 'yes'] }).leaving).toBe(true)
 	})
 
-	it('takes no other value for it', () => {
+	it('ignores other values of the leaving header', () => {
 		for (const value of ['', 'no', 'yess', '0', 'YES'])
 			expect(read(200, { leaving: value }).leaving).toBe(false)
 		expect(read(200, {}).leaving).toBe(false)
 	})
 
-	it('takes nothing from an answer of another target', () => {
+	it('reads nothing from a response of another target', () => {
 		const all = {
 			leaving: 'yes',
 			'retry-after': '3',
@@ -57,12 +57,12 @@
 		})
 	})
 
-	it('reads no cold time that is none', () => {
+	it('ignores an invalid cold time', () => {
 		for (const text of ['', '-1', 'soon', 'NaN'])
 			expect(read(200, { 'cold-ms': text }).coldMs).toBeUndefined()
 	})
 
-	it('reads whole seconds and parts of them from answers that turn a request away', () => {
+	it('reads whole and fractional seconds from Retry-After of 429 and 503 responses', () => {
 		expect(backoff(503, '3')).toEqual({ kind: 'asked', ms: 3_000 })
 		expect(backoff(429, '1.5')).toEqual({ kind: 'asked', ms: 1_500 })
 		expect(backoff(503, '0')).toEqual({ kind: 'asked', ms: 0 })
@@ -70,7 +70,7 @@
 		for (const status of [200, 202, 301, 500, 502]) expect(backoff(status, '3').kind).toBe('none')
 	})
 
-	it('tells what it does not understand', () => {
+	it('returns a backoff that it cannot parse as unreadable', () => {
 		for (const text of [
 			'',
 			'soon',
@@ -83,7 +83,7 @@
 			expect(backoff(503, text)).toEqual({ kind: 'unreadable', text })
 	})
 
-	it('reads the requests a second that a target takes, from answers of all kinds', () => {
+	it('reads the rate limit of a target from responses of all statuses', () => {
 		for (const status of [200, 400, 429, 500, 503])
 			expect(rate('1.3', status)).toEqual({ kind: 'named', perSecond: 1.3 })
 		for (const [text, perSecond] of [
@@ -97,7 +97,7 @@
 		expect(rate(['5', '2'])).toEqual({ kind: 'named', perSecond: 2 })
 	})
 
-	it('tells which rate it does not understand', () => {
+	it('returns a rate that it cannot parse as unreadable', () => {
 		for (const text of [
 			'',
 			'-1',
@@ -113,14 +113,14 @@
 			expect(rate(text)).toEqual({ kind: 'unreadable', text })
 	})
 
-	it('takes the end of a rate only from an answer of the target that succeeded', () => {
+	it('ends a rate limit only on a success of the target', () => {
 		expect(read(200, { 'target-mark': 't' }).rate).toEqual({ kind: 'none' })
 		expect(read(200, {}).rate).toEqual({ kind: 'silent' })
 		for (const status of [400, 429, 500, 503])
 			expect(read(status, { 'target-mark': 't' }).rate).toEqual({ kind: 'silent' })
 	})
 
-	it('never yields a time that is not a finite number of ms, whatever the header holds', () => {
+	it('returns only finite, non-negative backoffs for any header value', () => {
 		fc.assert(
 			fc.property(fc.string(), (text) => {
 				const read = backoff(503, text)
--- a/packages/gateway/src/lib/readTargetNotice.ts
+++ b/packages/gateway/src/lib/readTargetNotice.ts
@@ -4,10 +4,10 @@
 import type { ResponseHead } from './sendToTarget.js'
 
 /**
- * The time for which a target wants no requests from this box.
- * - `none`: it asks for none.
- * - `asked`: for so long, in ms.
- * - `unreadable`: it asks for some, in words that are not understood.
+ * How long a target asks this box to send no requests.
+ * - `none`: it does not ask.
+ * - `asked`: for `ms`.
+ * - `unreadable`: it asks in a form that cannot be parsed.
  */
 export type BackoffNotice =
 	| { readonly kind: 'none' }
@@ -15,11 +15,11 @@
 	| { readonly kind: 'unreadable'; readonly text: string }
 
 /**
- * The requests a second that a target takes from all boxes together, for as long as its answers name it.
- * - `silent`: the answer is none of this target, or did not succeed, so that what it named before stands.
- * - `none`: it names no such rate, or no longer.
- * - `named`: it takes so many.
- * - `unreadable`: it names one in words that are not understood; what it named before stands.
+ * Rate limit of a target in requests per second from all boxes together. It holds while its responses state it.
+ * - `silent`: the response says nothing about it; the previous limit remains.
+ * - `none`: the target has no limit, or no longer.
+ * - `named`: the limit is `perSecond`.
+ * - `unreadable`: the limit cannot be parsed; the previous one remains.
  */
 export type RateNotice =
 	| { readonly kind: 'silent' }
@@ -27,19 +27,19 @@
 	| { readonly kind: 'named'; readonly perSecond: number }
 	| { readonly kind: 'unreadable'; readonly text: string }
 
-/** What the head of an answer says of its target, beside the answer. */
+/** What the head of a response reports about its target. */
 export interface TargetNotice {
-	/** The target ends soon and takes no new work. */
+	/** The target is about to stop and accepts no new work. */
 	readonly leaving: boolean
 	readonly backoff: BackoffNotice
 	readonly rate: RateNotice
-	/** Undefined where it told none. */
+	/** Undefined if not reported. */
 	readonly load: TargetLoad | undefined
-	/** For how much longer it is slow after its start, in ms; undefined where it did not say. */
+	/** Remaining time in which the target is slow after its start, in ms; undefined if not reported. */
 	readonly coldMs: number | undefined
 }
 
-/** An answer of another target than the one that was meant says nothing of that one. */
+/** A response of another target than the expected one reports nothing about the expected one. */
 const NO_NOTICE: TargetNotice = {
 	leaving: false,
 	backoff: { kind: 'none' },
@@ -47,17 +47,17 @@
 	load: undefined,
 	coldMs: undefined,
 }
-/** The standard header of HTTP, in seconds; a date is not understood, as targets send none. */
+/** Supported with seconds only; targets send no dates. */
 const RETRY_AFTER_HEADER = 'retry-after'
-/** Statuses of answers that turn a request away, on which the header speaks of the target's load. */
+/** Statuses on which `Retry-After` asks for a backoff. */
 const BACKOFF_STATUSES: ReadonlySet<number> = new Set([429, 503])
-/** Whole numbers or decimals, as the platform writes seconds and rates. */
+/** Format of seconds and rates: whole or decimal numbers. */
 const DECIMAL = /^\d{1,9}(\.\d{1,9})?$/
 const SECOND_MS = 1_000
-/** Characters of a header that is not understood that a log line holds. */
+/** Characters of an invalid header value in a log event. */
 const MAX_LOGGED_CHARS = 40
 
-/** Reads all that an answer says of its target. */
+/** Reads what a response reports about its target. */
 export function readTargetNotice(
 	head: ResponseHead,
 	dialect: Pick<Dialect, 'headers' | 'readLoad' | 'wrongTargetStatus'>,
@@ -65,9 +65,9 @@
 	if (head.status === dialect.wrongTargetStatus) return NO_NOTICE
 	const names = dialect.headers
 	const load = head.headers[names.load]
-	const told = valuesOf(head.headers[names.leaving.header])
+	const leavingValues = valuesOf(head.headers[names.leaving.header])
 	return {
-		leaving: told.includes(names.leaving.value),
+		leaving: leavingValues.includes(names.leaving.value),
 		backoff: readBackoff(head),
 		rate: readRate(head, names),
 		load: typeof load === 'string' ? dialect.readLoad(load) : undefined,
@@ -75,7 +75,7 @@
 	}
 }
 
-/** For a log line: ms, or the words that were not understood. */
+/** Text for the log: the backoff in ms, or the value that could not be parsed. */
 export function describeBackoff(backoff: BackoffNotice): string {
 	switch (backoff.kind) {
 		case 'none':
@@ -89,7 +89,7 @@
 	}
 }
 
-/** For a log line: requests a second, or the words that were not understood. */
+/** Text for the log: requests per second, or the value that could not be parsed. */
 export function describeRate(rate: RateNotice): string {
 	switch (rate.kind) {
 		case 'silent':
@@ -113,14 +113,14 @@
 }
 
 /**
- * The lowest counts where it is named more than once. Only an answer that succeeded ends a rate: a refusal may come from
- * a part of the target that does not know of it.
+ * The lowest value counts if there are several. Only a success ends a limit: a refusal may come from a component of
+ * the target that does not know the limit.
  */
 function readRate({ status, headers }: ResponseHead, names: HeaderNames): RateNotice {
 	const text = headers[names.requestRate]
 	if (text === undefined) {
-		const isOwn = isSuccess(status) && headers[names.mark] !== undefined
-		return { kind: isOwn ? 'none' : 'silent' }
+		const isFromTarget = isSuccess(status) && headers[names.mark] !== undefined
+		return { kind: isFromTarget ? 'none' : 'silent' }
 	}
 	const values = valuesOf(text)
 	if (values.every((value) => DECIMAL.test(value)))
@@ -134,7 +134,7 @@
 	return coldMs >= 0 ? coldMs : undefined
 }
 
-/** Values of a header, which may occur more than once. */
+/** Comma-separated values of a header that may occur several times. */
 function valuesOf(header: string | string[] | undefined): readonly string[] {
 	if (header === undefined) return []
 	return [header].flat().flatMap((text) => text.split(',').map((value) => value.trim()))
--- a/packages/gateway/src/lib/reportRunEnd.ts
+++ b/packages/gateway/src/lib/reportRunEnd.ts
@@ -3,28 +3,33 @@
 import type { CrashProtection } from './CrashProtection.js'
 import type { RequestContent } from './RequestContent.js'
 
-/** A run that is over. */
+/** A run of a request at a target that has ended. */
 interface EndedRun {
 	readonly content: RequestContent
 	readonly target: TargetEntry
-	/** Steady time at which it began, in ms. */
+	/** Start of the run on the monotonic clock, in ms. */
 	readonly startedAt: number
 	readonly end: AttemptEnd
 }
 
-/** Statuses from here on are failures of the target. */
+/** Statuses from this one on are failures of the target. */
 const MIN_FAILURE_STATUS = 500
 
 /**
- * What the end of a run says about its request: it was answered, or perhaps ended its target. Resolves once that is
- * known, as far as it shows soon.
+ * Reports the end of a run to the crash protection: the request was answered, or may have crashed its target.
+ * Resolves once the check for a crash is done.
  */
 export async function reportRunEnd(
 	crashes: CrashProtection,
-	{ content, target, startedAt: beganAt, end }: EndedRun,
+	{ content, target, startedAt, end }: EndedRun,
 ): Promise<void> {
-	const { outcome, status, closedByTarget: wasClosed } = end
+	const { outcome, status, closedByTarget } = end
 	if (outcome.kind === 'answered' && status < MIN_FAILURE_STATUS) crashes.noteAnswered(content)
 	if (outcome.kind !== 'unknown') return
-	await crashes.noteBroken({ identity: content, target, beganAt, wasClosed })
+	await crashes.noteBroken({
+		identity: content,
+		target,
+		beganAt: startedAt,
+		wasClosed: closedByTarget,
+	})
 }
--- a/packages/gateway/src/lib/requestFingerprint.test.ts
+++ b/packages/gateway/src/lib/requestFingerprint.test.ts
@@ -22,8 +22,8 @@
 		)
 	})
 
-	it('differs with method, path, account and body, and where one runs into the next', () => {
-		const others = [
+	it('differs by method, path, account and body, and by the boundary between path and body', () => {
+		const fingerprints = [
 			requestFingerprint({ ...REQUEST, method: 'PUT' }, BODY),
 			requestFingerprint({ ...REQUEST, path: '/a/y' }, BODY),
 			requestFingerprint({ ...REQUEST, account: account('other') }, BODY),
@@ -32,6 +32,6 @@
 			requestFingerprint({ ...REQUEST, path: '/a/xb' }, Buffer.from('ody')),
 			requestFingerprint(REQUEST, BODY),
 		]
-		expect(new Set(others).size).toBe(others.length)
+		expect(new Set(fingerprints).size).toBe(fingerprints.length)
 	})
 })
--- a/packages/gateway/src/lib/requestFingerprint.ts
+++ b/packages/gateway/src/lib/requestFingerprint.ts
@@ -2,12 +2,12 @@
 import { brandId, type RequestFingerprint } from '@stallwing/core'
 import type { CallerRequest } from './CallerRequest.js'
 
-/** Characters kept of the hash, 4 bits each: 128 bits, so that nobody finds two requests with the same one. */
+/** Length of a fingerprint, 4 bits per digit: 128 bits resist collisions. */
 const FINGERPRINT_HEX_DIGITS = 32
 
 /**
- * What tells a request from others whichever box it comes to: method, path, account and body. Its id and its
- * deadline are new with each try.
+ * Identifies the content of a request at all boxes: method, path, account and body. The request id and the deadline
+ * are excluded, because they change with each retry.
  */
 export function requestFingerprint(
 	{ method, path, account }: Pick<CallerRequest, 'method' | 'path' | 'account'>,
--- a/packages/gateway/src/lib/roundAge.ts
+++ b/packages/gateway/src/lib/roundAge.ts
@@ -1,4 +1,4 @@
-/** An age in whole ms for log lines and metrics; -1: there never was a word. */
+/** An age in whole ms for log events and metrics; -1 if it is infinite. */
 export function roundAge(ms: number): number {
 	return Number.isFinite(ms) ? Math.round(ms) : -1
 }
--- a/packages/gateway/src/lib/sendToTarget.test.ts
+++ b/packages/gateway/src/lib/sendToTarget.test.ts
@@ -4,7 +4,7 @@
 import { ConnectionPool } from './ConnectionPool.js'
 import { sendToTarget, type ResponseHead } from './sendToTarget.js'
 
-/** What a call brought. */
+/** Result of a call. */
 interface Outcome {
 	readonly head: ResponseHead | undefined
 	readonly body: string
@@ -13,29 +13,36 @@
 
 const servers: Server[] = []
 
-/** A raw target: what it writes when a request has come, with the number of the request. */
-async function target(answer: (socket: Socket, request: number) => void): Promise<ConnectionPool> {
+/** Starts a target on a raw socket. `respond` gets the socket and the number of the request. */
+async function startTarget(
+	respond: (socket: Socket, request: number) => void,
+): Promise<ConnectionPool> {
 	let requests = 0
 	const server = createServer((socket) => {
 		socket.on('error', () => undefined)
-		socket.on('data', () => answer(socket, ++requests))
+		socket.on('data', () => respond(socket, ++requests))
 	})
 	servers.push(server)
 	await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
-	return poolFor(`127.0.0.1:${(server.address() as AddressInfo).port}`)
+	return createPool(`127.0.0.1:${(server.address() as AddressInfo).port}`)
 }
 
-function poolFor(address: string): ConnectionPool {
-	const times = { connectMs: 2_000, settleMs: 0, idleMs: 60_000, idleMarginMs: 1_000 }
+function createPool(address: string): ConnectionPool {
+	const timeouts = {
+		connectTimeoutMs: 2_000,
+		reuseDelayMs: 0,
+		defaultIdleTimeoutMs: 60_000,
+		idleTimeoutMarginMs: 1_000,
+	}
 	return new ConnectionPool(
 		address,
-		times,
+		timeouts,
 		() => performance.now(),
 		() => undefined,
 	)
 }
 
-function call(pool: ConnectionPool): Promise<Outcome> {
+function send(pool: ConnectionPool): Promise<Outcome> {
 	return new Promise((resolve) => {
 		let head: ResponseHead | undefined
 		let body = ''
@@ -45,8 +52,8 @@
 			{ method: 'GET', path: '/', headers, body: Buffer.alloc(0) },
 			{
 				maySend: () => Promise.resolve(true),
-				onHead: (got) => {
-					head = got
+				onHead: (received) => {
+					head = received
 					return true
 				},
 				onData: (chunk) => (body += chunk.toString()),
@@ -58,8 +65,8 @@
 	})
 }
 
-/** Waits until connections in the pool are as many as expected. */
-async function untilOpen(pool: ConnectionPool, count: number): Promise<void> {
+/** Waits until the pool has as many connections as expected. */
+async function waitForPoolSize(pool: ConnectionPool, count: number): Promise<void> {
 	while (pool.size !== count) await new Promise((resolve) => setTimeout(resolve, 2))
 }
 
@@ -70,63 +77,63 @@
 		for (const server of servers.splice(0)) server.close()
 	})
 
-	it('uses a connection again after a whole answer', async () => {
-		const pool = await target((socket) => socket.write(OK))
-		expect((await call(pool)).body).toBe('ok')
-		await untilOpen(pool, 1)
-		expect((await call(pool)).end).toBe('whole')
+	it('reuses a connection after a complete response', async () => {
+		const pool = await startTarget((socket) => socket.write(OK))
+		expect((await send(pool)).body).toBe('ok')
+		await waitForPoolSize(pool, 1)
+		expect((await send(pool)).end).toBe('whole')
 		expect(pool.size).toBe(1)
 		pool.close()
 	})
 
-	it('says that nothing was sent where no connection can be made', async () => {
-		const pool = await target(() => undefined)
+	it('reports that nothing was sent if no connection can be made', async () => {
+		const pool = await startTarget(() => undefined)
 		servers.splice(0)[0]?.close()
 		await new Promise((resolve) => setTimeout(resolve, 20))
-		expect((await call(pool)).end).toBe('not-sent')
+		expect((await send(pool)).end).toBe('not-sent')
 	})
 
-	it('drops a connection on which bytes come after the answer', async () => {
-		const pool = await target((socket) => socket.write(OK + OK))
-		expect((await call(pool)).body).toBe('ok')
-		await untilOpen(pool, 0)
-		const late = await target((socket) => {
+	it('closes a connection that receives bytes after the response', async () => {
+		const pool = await startTarget((socket) => socket.write(OK + OK))
+		expect((await send(pool)).body).toBe('ok')
+		await waitForPoolSize(pool, 0)
+		const late = await startTarget((socket) => {
 			socket.write(OK)
 			setTimeout(() => socket.write(OK), 10)
 		})
-		expect((await call(late)).body).toBe('ok')
-		await untilOpen(late, 0)
+		expect((await send(late)).body).toBe('ok')
+		await waitForPoolSize(late, 0)
 	})
 
-	it('does not take a broken answer for a whole one', async () => {
-		const short = await target((socket) =>
+	it('reports a truncated or malformed response as broken', async () => {
+		const short = await startTarget((socket) =>
 			socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc'),
 		)
-		expect((await call(short)).end).toBe('broken')
-		const unended = await target((socket) =>
+		expect((await send(short)).end).toBe('broken')
+		const unended = await startTarget((socket) =>
 			socket.end('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n'),
 		)
-		expect((await call(unended)).end).toBe('broken')
-		const garbage = await target((socket) => socket.end('no answer at all\r\n\r\n'))
-		expect((await call(garbage)).end).toBe('broken')
+		expect((await send(unended)).end).toBe('broken')
+		const garbage = await startTarget((socket) => socket.end('no answer at all\r\n\r\n'))
+		expect((await send(garbage)).end).toBe('broken')
 	})
 
-	it('tells a reset from the end of an answer without a length', async () => {
-		const ended = await target((socket) => socket.end('HTTP/1.1 200 OK\r\n\r\nabc'))
-		expect(await call(ended)).toMatchObject({ body: 'abc', end: 'whole' })
-		const reset = await target((socket) => {
+	it('distinguishes a reset from the end of a close-delimited response', async () => {
+		const ended = await startTarget((socket) => socket.end('HTTP/1.1 200 OK\r\n\r\nabc'))
+		expect(await send(ended)).toMatchObject({ body: 'abc', end: 'whole' })
+		const reset = await startTarget((socket) => {
 			socket.write('HTTP/1.1 200 OK\r\n\r\nabc', () =>
 				setTimeout(() => socket.resetAndDestroy(), 10),
 			)
 		})
-		expect((await call(reset)).end).toBe('broken')
+		expect((await send(reset)).end).toBe('broken')
 	})
 
-	it('leaves a connection well before the time that the target told', async () => {
-		const pool = await target((socket) =>
+	it('closes a connection before the keep-alive timeout of the target', async () => {
+		const pool = await startTarget((socket) =>
 			socket.write('HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok'),
 		)
-		expect((await call(pool)).end).toBe('whole')
-		await untilOpen(pool, 0)
+		expect((await send(pool)).end).toBe('whole')
+		await waitForPoolSize(pool, 0)
 	})
 })
--- a/packages/gateway/src/lib/sendToTarget.ts
+++ b/packages/gateway/src/lib/sendToTarget.ts
@@ -2,56 +2,56 @@
 import type { Socket } from 'node:net'
 import type { ConnectionPool } from './ConnectionPool.js'
 
-/** What is sent to a target. */
+/** A request as it is sent to a target. */
 export interface TargetRequest {
 	readonly method: string
 	readonly path: string
-	/** Names and values in turn, as they go on the wire. */
+	/** Names and values alternate, as on the wire. */
 	readonly headers: readonly string[]
 	readonly body: Buffer
 }
 
-/** Head of an answer of a target. */
+/** Head of a response of a target. */
 export interface ResponseHead {
 	readonly status: number
-	/** Names and values in turn, as they came. */
+	/** Names and values alternate, as received. */
 	readonly rawHeaders: readonly string[]
 	/** By lower-case name. */
 	readonly headers: Readonly<Record<string, string | string[] | undefined>>
 }
 
 /**
- * Why no whole answer came.
- * - `not-reached`: no connection could be had; no byte of the request left this box.
- * - `withdrawn`: the listener held the request back; no byte of it left this box.
- * - `broken`: bytes of the request left, and no whole answer came.
+ * Why there is no complete response.
+ * - `not-reached`: the connection failed; no byte of the request was sent.
+ * - `withdrawn`: the listener no longer allowed the request; no byte of it was sent.
+ * - `broken`: bytes of the request were sent, and no complete response arrived.
  */
 export interface TargetFailure {
 	readonly kind: 'not-reached' | 'withdrawn' | 'broken'
 	readonly cause: string
 }
 
-/** What a target answers, as it comes. After `onEnd` or `onFailure` nothing else is called. */
+/** Receives the response of a target. Nothing is called after `onEnd` or `onFailure`. */
 export interface ResponseListener {
-	/** Asked once a connection stands, just before the request leaves. False: it must not leave any more. */
+	/** Called once connected, just before the request is sent. False withdraws the request. */
 	maySend(): Promise<boolean>
-	/** False: this is not the answer to our request; the connection is dropped. */
+	/** Returns false if the response belongs to another request; the connection is then closed. */
 	onHead(head: ResponseHead): boolean
 	onData(chunk: Buffer): void
-	/** The answer is whole. */
+	/** Called when the response is complete. */
 	onEnd(): void
 	onFailure(failure: TargetFailure): void
 }
 
-/** A request under way at a target. */
+/** A request in flight at a target. */
 export interface TargetCall {
 	pause(): void
 	resume(): void
-	/** Closes the connection, so that the target stops. No listener is called any more. */
+	/** Closes the connection, so that the target stops. The listener is not called again. */
 	abort(): void
 }
 
-/** Sends a request on a connection of the pool. Never throws; failures go to the listener. */
+/** Sends a request on a connection of the pool. Never throws; failures are passed to the listener. */
 export function sendToTarget(
 	pool: ConnectionPool,
 	message: TargetRequest,
@@ -112,7 +112,8 @@
 	}
 
 	private send(socket: Socket): void {
-		// A reset ends an answer without a length just as a close does; only the error tells.
+		// A close-delimited response ends alike after a reset and a normal close; only the error of the socket tells
+		// them apart.
 		socket.prependOnceListener('error', () => {
 			this.hasSocketError = true
 		})
@@ -122,58 +123,58 @@
 			path: this.message.path,
 			headers: this.message.headers as string[],
 		})
-		// A request without an agent is taken as the last one of its connection; ours goes on.
+		// Without an agent, Node closes the connection after the request unless this is set.
 		outgoing.shouldKeepAlive = true
 		this.request = outgoing
 		outgoing.on('error', (error) => this.fail('broken', describeFailure(error)))
 		outgoing.on('close', () => this.fail('broken', 'connection closed'))
-		outgoing.on('response', (answer) => this.handleResponse(answer))
+		outgoing.on('response', (response) => this.handleResponse(response))
 		outgoing.end(this.message.body)
 	}
 
-	private handleResponse(answer: IncomingMessage): void {
+	private handleResponse(response: IncomingMessage): void {
 		if (this.hasEnded) return
-		this.response = answer
+		this.response = response
 		const accepted = this.listener.onHead({
-			status: answer.statusCode ?? 0,
-			rawHeaders: answer.rawHeaders,
-			headers: answer.headers,
+			status: response.statusCode ?? 0,
+			rawHeaders: response.rawHeaders,
+			headers: response.headers,
 		})
 		if (!accepted) {
 			this.fail('broken', 'answer of another request')
 			return
 		}
-		answer.on('data', (chunk: Buffer) => {
+		response.on('data', (chunk: Buffer) => {
 			if (!this.hasEnded) this.listener.onData(chunk)
 		})
-		answer.on('error', (error) => this.fail('broken', describeFailure(error)))
-		answer.on('aborted', () => this.fail('broken', 'answer broken off'))
-		answer.on('end', () => this.finish(answer))
+		response.on('error', (error) => this.fail('broken', describeFailure(error)))
+		response.on('aborted', () => this.fail('broken', 'answer broken off'))
+		response.on('end', () => this.finish(response))
 	}
 
-	private finish(answer: IncomingMessage): void {
+	private finish(response: IncomingMessage): void {
 		if (this.hasEnded) return
-		if (!answer.complete || this.hasSocketError) {
+		if (!response.complete || this.hasSocketError) {
 			this.fail('broken', 'answer broken off')
 			return
 		}
 		this.hasEnded = true
-		this.releaseSocket(answer)
+		this.releaseSocket(response)
 		this.listener.onEnd()
 	}
 
-	private releaseSocket(answer: IncomingMessage): void {
+	private releaseSocket(response: IncomingMessage): void {
 		const socket = this.socket
 		if (!socket) return
-		if (!isReusable(answer) || !this.request?.writableFinished) {
+		if (!isReusable(response) || !this.request?.writableFinished) {
 			socket.destroy()
 			return
 		}
-		// The parser lets go of the connection in a later turn.
+		// The HTTP parser releases the socket in a later turn of the event loop.
 		socket.once('free', () => {
 			socket.removeAllListeners('error')
 			socket.on('error', () => socket.destroy())
-			this.pool.release(socket, keepAliveSeconds(answer))
+			this.pool.release(socket, keepAliveSeconds(response))
 		})
 	}
 
@@ -186,18 +187,18 @@
 	}
 }
 
-function isReusable(answer: IncomingMessage): boolean {
-	const connection = String(answer.headers.connection ?? '').toLowerCase()
+function isReusable(response: IncomingMessage): boolean {
+	const connection = String(response.headers.connection ?? '').toLowerCase()
 	if (connection.includes('close')) return false
-	if (answer.httpVersion === '1.0') return false
-	const framed =
-		answer.headers['content-length'] !== undefined ||
-		answer.headers['transfer-encoding'] !== undefined
-	return framed || answer.statusCode === 204 || answer.statusCode === 304
+	if (response.httpVersion === '1.0') return false
+	const isSelfDelimiting =
+		response.headers['content-length'] !== undefined ||
+		response.headers['transfer-encoding'] !== undefined
+	return isSelfDelimiting || response.statusCode === 204 || response.statusCode === 304
 }
 
-function keepAliveSeconds(answer: IncomingMessage): number | undefined {
-	const match = /timeout=(\d+)/.exec(String(answer.headers['keep-alive'] ?? ''))
+function keepAliveSeconds(response: IncomingMessage): number | undefined {
+	const match = /timeout=(\d+)/.exec(String(response.headers['keep-alive'] ?? ''))
 	return match ? Number(match[1]) : undefined
 }
 
--- a/packages/gateway/src/lib/serveOperators.ts
+++ b/packages/gateway/src/lib/serveOperators.ts
@@ -1,16 +1,16 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import { listenOn, type ListenAddress } from './listenOn.js'
 
-/** What operators ask a process for, as text. @public */
+/** Contents of the operator endpoints, as text. @public */
 export interface OperatorPages {
 	readonly metrics: () => string
 	/** A JSON document. */
 	readonly status: () => string
-	/** Lets a quarantined request run again; false where nothing is held against it. */
+	/** Releases a quarantined request; returns false if it is not quarantined. */
 	readonly releaseQuarantined: (fingerprint: string) => boolean
 }
 
-/** Where `stallwing status` and `stallwing quarantine release` ask; all other paths show the metrics. */
+/** Paths used by `stallwing status` and `stallwing quarantine release`; all other paths return the metrics. */
 const STATUS_PATH = '/status'
 const RELEASE_PATH = '/quarantine/release'
 const LOCAL_URL = 'http://localhost'
--- a/packages/gateway/src/lib/testBox.ts
+++ b/packages/gateway/src/lib/testBox.ts
@@ -48,10 +48,10 @@
 	},
 	readKey: (header) => header('authorization'),
 	readLoad: () => undefined,
-	statusFor: (kind) => STATUS[kind],
+	statusFor: (kind) => STATUS_CODES[kind],
 }
 
-const STATUS = {
+const STATUS_CODES = {
 	malformed: 400,
 	'header-too-large': 431,
 	'body-too-large': 413,
@@ -89,24 +89,36 @@
 	return {
 		version,
 		routes: [
-			{ ...route, name: name('once'), pathPrefix: '/once/', kind: 'once', resumable: false },
+			{ ...route, name: routeName('once'), pathPrefix: '/once/', kind: 'once', resumable: false },
 			{
 				...route,
-				name: name('again'),
+				name: routeName('again'),
 				pathPrefix: '/again/',
 				kind: 'repeatable',
 				resumable: false,
 			},
 			{
 				...route,
-				name: name('home'),
+				name: routeName('home'),
 				pathPrefix: '/home/',
 				kind: 'once',
 				resumable: false,
 				regions: [brandId<RegionName>('south')],
 			},
-			{ ...route, name: name('stream'), pathPrefix: '/stream/', kind: 'stream', resumable: false },
-			{ ...route, name: name('resume'), pathPrefix: '/resume/', kind: 'stream', resumable: true },
+			{
+				...route,
+				name: routeName('stream'),
+				pathPrefix: '/stream/',
+				kind: 'stream',
+				resumable: false,
+			},
+			{
+				...route,
+				name: routeName('resume'),
+				pathPrefix: '/resume/',
+				kind: 'stream',
+				resumable: true,
+			},
 		],
 		services: [
 			{ name: SERVICE, maxConnections: 100, tokensPerEvent: undefined, coldStart: undefined },
@@ -129,11 +141,11 @@
 	}
 }
 
-function name(text: string): RouteName {
+function routeName(text: string): RouteName {
 	return brandId<RouteName>(text)
 }
 
-/** A caller's view of an answer. */
+/** A response as the caller receives it. */
 export interface CallerResponse {
 	readonly status: number
 	readonly headers: IncomingMessage['headers']
@@ -147,28 +159,28 @@
 	body: string,
 ) => void
 
-/** One gateway in this process, a store in memory, and targets on loopback. */
+/** A gateway in this process with a store in memory and targets on loopback. */
 export class TestBox {
-	/** What happens to calls to a store of its own. */
+	/** What happens to calls to the store, if this box created it. */
 	storeFate: CallFate = 'served'
-	/** For how long its machine has been suspended so far, in ms. */
+	/** Total time for which the machine has been suspended, in ms. */
 	suspendedMs = 0
 	readonly store: MemoryStore
 	readonly logEvents: LogEvent[] = []
 	private onLogEvent: (event: LogEvent) => void = () => undefined
 	readonly receivedRequests: {
-		addTarget: string
+		target: string
 		headers: IncomingMessage['headers']
 		body: string
 	}[] = []
 	private readonly servers: Server[] = []
-	/** Connections that targets took. */
+	/** Connections accepted by the targets. */
 	readonly targetSockets = new Set<Socket>()
 	private port = 0
 	private readinessPort = 0
 	readonly gateway: Gateway
 
-	/** Without a store it has one of its own. Boxes that talk to each other need ports of their own for that. */
+	/** Creates its own store if none is given. Boxes that reach each other need a fixed `peersPort`. */
 	constructor(
 		name = 'box',
 		store?: MemoryStore,
@@ -237,13 +249,13 @@
 		this.store.put('config/now', JSON.stringify(trafficConfigOf(version)))
 	}
 
-	/** Starts a target; the store lists it. */
-	async target(id: string, handler: TargetHandler, leaving = false): Promise<void> {
+	/** Starts a target and lists it in the store. */
+	async addTarget(id: string, handler: TargetHandler, leaving = false): Promise<void> {
 		const server = createServer((message, response) => {
 			let body = ''
 			message.on('data', (chunk: Buffer) => (body += chunk.toString()))
 			message.on('end', () => {
-				this.receivedRequests.push({ addTarget: id, headers: message.headers, body })
+				this.receivedRequests.push({ target: id, headers: message.headers, body })
 				response.setHeader('request-id', message.headers['request-id'] ?? '')
 				response.setHeader('target-mark', id)
 				handler(message, response, body)
@@ -259,23 +271,24 @@
 		const entry = targetEntryOf(id, address, leaving)
 		this.store.put(`targets/${id}`, JSON.stringify(entry))
 	}
-	/** Waits until the box says that it is ready. */
+
+	/** Waits until the readiness check succeeds. */
 	async waitUntilReady(): Promise<void> {
 		while ((await this.readinessStatus()) !== 200) await sleep(10)
 	}
 
 	readinessStatus(): Promise<number> {
 		return new Promise((resolve) => {
-			const outgoing = request({ port: this.readinessPort, path: '/' }, (answer) => {
-				answer.resume()
-				answer.on('end', () => resolve(answer.statusCode ?? 0))
+			const outgoing = request({ port: this.readinessPort, path: '/' }, (response) => {
+				response.resume()
+				response.on('end', () => resolve(response.statusCode ?? 0))
 			})
 			outgoing.on('error', () => resolve(0))
 			outgoing.end()
 		})
 	}
 
-	/** Asks as a caller. `onEvent` is called for each piece of the answer. */
+	/** Sends a request as a caller. `onChunk` is called for each chunk of the response. */
 	sendRequest(path: string, options: SendOptions = {}): Promise<CallerResponse> {
 		return new Promise((resolve) => {
 			const outgoing = request({
@@ -290,31 +303,31 @@
 				},
 			})
 			outgoing.on('error', () => resolve({ status: 0, headers: {}, body: '', isComplete: false }))
-			outgoing.on('response', (answer) => {
+			outgoing.on('response', (response) => {
 				let body = ''
-				const done = (whole: boolean) =>
+				const finish = (isComplete: boolean) =>
 					resolve({
-						status: answer.statusCode ?? 0,
-						headers: answer.headers,
+						status: response.statusCode ?? 0,
+						headers: response.headers,
 						body,
-						isComplete: whole,
+						isComplete,
 					})
-				answer.on('data', (chunk: Buffer) => {
+				response.on('data', (chunk: Buffer) => {
 					body += chunk.toString()
-					options.onEvent?.(() => outgoing.destroy())
+					options.onChunk?.(() => outgoing.destroy())
 				})
-				answer.on('error', () => done(false))
-				answer.on('end', () => done(answer.complete))
+				response.on('error', () => finish(false))
+				response.on('end', () => finish(response.complete))
 			})
 			outgoing.end(options.body ?? '')
 		})
 	}
 
-	/** Asks and hangs up at once, while this process is busy and reads neither. */
+	/** Sends a request and disconnects immediately, while the process is blocked and reads neither. */
 	async sendAndDisconnect(id: string): Promise<void> {
 		const socket = connect({ port: this.port, host: '127.0.0.1' })
 		await new Promise<void>((resolve) => socket.once('connect', resolve))
-		// The gateway takes the connection before it falls behind.
+		// The gateway must accept the connection before the process is blocked.
 		await sleep(20)
 		const head = `GET /again/x HTTP/1.1\r\nHost: a.example\r\nrequest-id: ${id}\r\n`
 		socket.write(`${head}authorization: key\r\n\r\n`)
@@ -323,11 +336,11 @@
 		while (performance.now() < until);
 	}
 
-	/** Asks and hangs up once a target is chosen, while this process is busy: the target takes the connection. */
+	/** Disconnects once a target is chosen, while the process is blocked and the target accepts the connection. */
 	async sendAndDisconnectWhenTargetChosen(id: string): Promise<void> {
 		const socket = connect({ port: this.port, host: '127.0.0.1' })
 		await new Promise<void>((resolve) => socket.once('connect', resolve))
-		const chosen = new Promise<void>((resolve) => {
+		const targetChosen = new Promise<void>((resolve) => {
 			this.onLogEvent = (event) => {
 				if (event.name !== 'target-chosen') return
 				this.onLogEvent = () => undefined
@@ -341,7 +354,7 @@
 		})
 		const head = `GET /again/x HTTP/1.1\r\nHost: a.example\r\nrequest-id: ${id}\r\n`
 		socket.write(`${head}authorization: key\r\n\r\n`)
-		await chosen
+		await targetChosen
 	}
 
 	async stop(): Promise<void> {
@@ -350,7 +363,7 @@
 	}
 }
 
-/** An entry of the list of targets. */
+/** Creates an entry of the target list. */
 export function targetEntryOf(id: string, address: string, leaving = false): TargetEntry {
 	return {
 		name: brandId<TargetName>(id),
@@ -369,7 +382,7 @@
 	readonly id?: string
 	readonly headers?: Record<string, string>
 	readonly body?: string
-	readonly onEvent?: (hangUp: () => void) => void
+	readonly onChunk?: (disconnect: () => void) => void
 }
 
 function readConfig(text: string): E.Either<UnreadableDocument, TrafficConfig> {
@@ -379,9 +392,9 @@
 	)
 }
 
-/** Time for which a test keeps its process from reading, in ms. */
+/** Time for which a test blocks its process, in ms. */
 const BLOCKED_MS = 120
-/** Regions of the zones of the targets. */
+/** Regions of the zones. */
 const REGIONS: Readonly<Record<string, RegionName>> = {
 	z1: brandId<RegionName>('north'),
 	z2: brandId<RegionName>('south'),
--- a/packages/gateway/src/lib/testNoticeFleet.ts
+++ b/packages/gateway/src/lib/testNoticeFleet.ts
@@ -9,24 +9,24 @@
 	type CallerResponse,
 } from './testBox.js'
 
-/** Boxes of a {@link NoticeFleet}. */
+/** Default number of boxes of a {@link NoticeFleet}. */
 export const DEFAULT_BOX_COUNT = 3
-/** Its targets, which are named `t0`, `t1` and so on. */
+/** Number of targets, which are named `t0`, `t1` and so on. */
 export const TARGET_COUNT = 6
-/** Pause between two requests, in ms. */
+/** Time between two requests. */
 const REQUEST_INTERVAL_MS = 12
-/** Time that a request takes, in ms: each box has some under way, so that it uses several targets. */
+/** Duration of a request at a target: long enough that each box uses several targets. */
 const REQUEST_DURATION_MS = 100
-/** Time after the word of a target that it leaves in which a box may still send there, in ms. */
+/** Time after a leaving notice in which a box may still send to the target. */
 export const MAX_DRAIN_DELAY_MS = 2_000
-/** Time for which {@link BACKOFF_ANSWER} asks to be left alone, in ms. */
+/** Backoff that {@link BACKOFF_ANSWER} asks for. */
 export const BACKOFF_MS = 1_500
-/** Time after such a word in which what was on its way may still arrive, in ms. */
+/** Time after a notice in which requests that were already in flight may arrive. */
 const IN_FLIGHT_MS = 500
 
-/** An answer without a word. */
-export const OK_ANSWER: NotifyingAnswer = { status: 200, notRun: false, stream: false, notice: {} }
-/** The word of a target that it leaves. */
+/** A success without a notice. */
+export const OK: NotifyingAnswer = { status: 200, notRun: false, stream: false, notice: {} }
+/** Header with which a target reports that it is leaving. */
 export const LEAVING_NOTICE = {
 	[TEST_DIALECT.headers.leaving.header]: TEST_DIALECT.headers.leaving.value,
 }
@@ -38,7 +38,7 @@
 	notice: { 'retry-after': String(BACKOFF_MS / 1_000) },
 }
 
-/** A request of a caller, and what became of it. */
+/** A request of a caller with its response. */
 interface SentRequest {
 	readonly box: string
 	readonly sentAt: number
@@ -46,24 +46,24 @@
 	readonly response: CallerResponse
 }
 
-/** What a {@link NoticeFleet} is made of. */
+/** Options of a {@link NoticeFleet}. */
 export interface NoticeFleetOptions {
-	/** Number of boxes; {@link DEFAULT_BOX_COUNT} where it is not said. */
+	/** Number of boxes; {@link DEFAULT_BOX_COUNT} by default. */
 	readonly boxCount?: number
-	/** Boxes hear each other, and have known each other for long. */
+	/** The boxes can reach each other and are registered in the store from the start. */
 	readonly arePeersConnected?: boolean
 }
 
-/** Boxes over one store, and targets that the store lists as ready all the time. */
+/** Boxes with a common store and targets that the store always lists as ready. */
 export class NoticeFleet {
 	private readonly boxCount: number
 	private readonly store = new MemoryStore({ now: () => performance.now(), sleep })
 	private boxes: readonly TestBox[] = []
 	private targets: readonly NotifyingTarget[] = []
 	private sentRequests: SentRequest[] = []
-	private notifiedSince = Infinity
+	private noticesFrom = Infinity
 
-	/** `spoken`: what targets answer once they speak; the others answer well. */
+	/** `answers`: responses by target name, used once {@link start} has completed; other targets succeed. */
 	constructor(
 		private answers: Readonly<Record<string, NotifyingAnswer>>,
 		private readonly options: NoticeFleetOptions = {},
@@ -83,12 +83,12 @@
 		)
 		await Promise.all(this.boxes.map((box) => box.start()))
 		await Promise.all(this.boxes.map((box) => box.waitUntilReady()))
-		this.notifiedSince = performance.now()
+		this.noticesFrom = performance.now()
 	}
 
-	/** From now on targets answer so. */
-	setAnswers(spoken: Readonly<Record<string, NotifyingAnswer>>): void {
-		this.answers = spoken
+	/** Replaces the responses of the targets. */
+	setAnswers(answers: Readonly<Record<string, NotifyingAnswer>>): void {
+		this.answers = answers
 	}
 
 	async stop(): Promise<void> {
@@ -96,121 +96,126 @@
 		await Promise.all(this.boxes.map((box) => box.stop()))
 	}
 
-	/** Callers ask all boxes in turn; a request's id names the box. */
-	async sendRequests(routes: readonly string[], forMs: number): Promise<void> {
-		const until = performance.now() + forMs
-		const answers: Promise<void>[] = []
+	/** Sends requests to all boxes in turn; the request id contains the name of the box. */
+	async sendRequests(routes: readonly string[], durationMs: number): Promise<void> {
+		const until = performance.now() + durationMs
+		const pending: Promise<void>[] = []
 		for (let i = 0; performance.now() < until; i++) {
 			const box = i % this.boxCount
 			const route = routes[Math.floor(i / this.boxCount) % routes.length] ?? ''
-			answers.push(this.sendOne(box, `${route}x`, `box-${box} ${i}`))
+			pending.push(this.sendOne(box, `${route}x`, `box-${box} ${i}`))
 			await sleep(REQUEST_INTERVAL_MS)
 		}
-		await Promise.all(answers)
+		await Promise.all(pending)
 	}
 
 	private async sendOne(box: number, path: string, id: string): Promise<void> {
-		const at = performance.now()
-		const answer = await this.boxes[box]?.sendRequest(path, { id })
-		if (answer)
+		const sentAt = performance.now()
+		const response = await this.boxes[box]?.sendRequest(path, { id })
+		if (response)
 			this.sentRequests.push({
 				box: `box-${box}`,
-				sentAt: at,
+				sentAt,
 				answeredAt: performance.now(),
-				response: answer,
+				response,
 			})
 	}
 
-	/** Pairs of a box and a target that told it that it leaves. */
+	/** Number of pairs of a box and a target that reported to it that it is leaving. */
 	get leavingPairs(): number {
 		return this.sumOverPairs((requests) => (leavingNoticeAt(requests) < Infinity ? 1 : 0))
 	}
 
-	/** Requests that reached a target later than the time of a drain after it told their box that it leaves. */
+	/** Requests that reached a target after its leaving notice and the drain delay. */
 	get requestsAfterDrain(): number {
 		return this.sumOverPairs((requests) => {
-			const bound = leavingNoticeAt(requests) + MAX_DRAIN_DELAY_MS
-			return requests.filter(({ at }) => at > bound).length
+			const drainEndsAt = leavingNoticeAt(requests) + MAX_DRAIN_DELAY_MS
+			return requests.filter(({ at }) => at > drainEndsAt).length
 		})
 	}
 
-	/** Answers that asked a box for a backoff. */
+	/** Responses that asked a box for a backoff. */
 	get backoffCount(): number {
 		return this.sumOverPairs(
 			(requests) => requests.filter(({ answer }) => asksForBackoff(answer)).length,
 		)
 	}
 
-	/** Most requests of one box that reached a target in the time of one backoff that it had asked that box for. */
+	/** Maximum number of requests of one box that reached a target during a backoff. */
 	get maxRequestsInBackoff(): number {
-		let most = 0
+		let maxRequests = 0
 		this.sumOverPairs((requests) => {
 			for (const { at, answer } of requests) {
 				if (!asksForBackoff(answer)) continue
 				const inBackoff = requests.filter(
 					(other) => other.at > at + IN_FLIGHT_MS && other.at < at + BACKOFF_MS,
 				)
-				most = Math.max(most, inBackoff.length)
+				maxRequests = Math.max(maxRequests, inBackoff.length)
 			}
 			return 0
 		})
-		return most
+		return maxRequests
 	}
 
-	/** Times at which requests reached a target since targets speak, from boxes that had been told so long before. */
-	requestTimes(name: string, toldMs: number): readonly number[] {
+	/**
+	 * Arrival times of requests at a target, from boxes that learned of its rate limit at least `noticeAgeMs` before.
+	 */
+	requestTimes(name: string, noticeAgeMs: number): readonly number[] {
 		const requests = this.targets.find((target) => target.name === name)?.requests ?? []
-		const spoken = requests.filter(({ at }) => at >= this.notifiedSince)
-		const toldAt = new Map<string, number>()
-		for (const { at, answer, requestId } of spoken) {
+		const notified = requests.filter(({ at }) => at >= this.noticesFrom)
+		const noticedAt = new Map<string, number>()
+		for (const { at, answer, requestId } of notified) {
 			const box = boxNameOf(requestId)
-			if (!toldAt.has(box) && namesRate(answer)) toldAt.set(box, at)
+			if (!noticedAt.has(box) && namesRate(answer)) noticedAt.set(box, at)
 		}
-		const isTold = ({ at, requestId }: { at: number; requestId: string }): boolean =>
-			at >= (toldAt.get(boxNameOf(requestId)) ?? Infinity) + toldMs
-		return spoken.filter(isTold).map(({ at }) => at)
+		const isNoticed = ({ at, requestId }: { at: number; requestId: string }): boolean =>
+			at >= (noticedAt.get(boxNameOf(requestId)) ?? Infinity) + noticeAgeMs
+		return notified.filter(isNoticed).map(({ at }) => at)
 	}
 
-	/** Requests that were not served although they came so long after targets began to speak. */
+	/** Requests that failed, of those sent more than `afterMs` after notices began. */
 	failuresAfter(afterMs: number): number {
-		const late = this.sentRequests.filter(({ sentAt: at }) => at > this.notifiedSince + afterMs)
-		return late.filter(({ response: answer }) => answer.status !== 200 || !answer.isComplete).length
+		const late = this.sentRequests.filter(({ sentAt }) => sentAt > this.noticesFrom + afterMs)
+		return late.filter(({ response }) => response.status !== 200 || !response.isComplete).length
 	}
 
-	/** Requests that were served of those that came so long after targets began to speak. */
+	/** Requests that succeeded, of those sent more than `afterMs` after notices began. */
 	successesAfter(afterMs: number): number {
-		const late = this.sentRequests.filter(({ sentAt: at }) => at > this.notifiedSince + afterMs)
-		return late.filter(({ response: answer }) => answer.status === 200 && answer.isComplete).length
+		const late = this.sentRequests.filter(({ sentAt }) => sentAt > this.noticesFrom + afterMs)
+		return late.filter(({ response }) => response.status === 200 && response.isComplete).length
 	}
 
-	/** Longest time until a caller was refused, in ms. */
+	/** Maximum time until a refusal, in ms. */
 	get maxRefusalMs(): number {
-		const refused = this.sentRequests.filter(({ response: answer }) => answer.status === 503)
-		return Math.max(0, ...refused.map(({ sentAt: at, answeredAt }) => answeredAt - at))
+		const refused = this.sentRequests.filter(({ response }) => response.status === 503)
+		return Math.max(0, ...refused.map(({ sentAt, answeredAt }) => answeredAt - sentAt))
 	}
 
-	/** Callers that were refused, and told to come back before any target takes work of their box again. */
+	/** Refusals whose `Retry-After` ends before any target accepts work of the box again. */
 	get prematureRetryCount(): number {
-		return this.sentRequests.filter(({ box, answeredAt, response: answer }) => {
-			if (answer.status !== 503) return false
-			const backAt = answeredAt + Number(answer.headers['retry-after'] ?? 0) * 1_000
-			return backAt < this.firstAvailableAt(box, answeredAt)
+		return this.sentRequests.filter(({ box, answeredAt, response }) => {
+			if (response.status !== 503) return false
+			const retryAt = answeredAt + Number(response.headers['retry-after'] ?? 0) * 1_000
+			return retryAt < this.firstAvailableAt(box, answeredAt)
 		}).length
 	}
 
-	/** When the first target takes work of a box again, as far as it was told until then; 0: some take it now. */
+	/**
+	 * Time at which the first target accepts work of a box again, as far as the box knew at `now`; 0 if one accepts
+	 * it now.
+	 */
 	private firstAvailableAt(box: string, now: number): number {
-		const opens = this.targets.map(({ requests }) => {
-			const told = requests.filter(
+		const availableTimes = this.targets.map(({ requests }) => {
+			const backoffs = requests.filter(
 				({ requestId, at, answer }) =>
 					boxNameOf(requestId) === box && at < now && asksForBackoff(answer),
 			)
-			return Math.max(0, ...told.map(({ at }) => at + BACKOFF_MS))
+			return Math.max(0, ...backoffs.map(({ at }) => at + BACKOFF_MS))
 		})
-		return Math.min(...opens)
+		return Math.min(...availableTimes)
 	}
 
-	/** Sum over all pairs of a target and a box that sent to it, of what the target got from that box. */
+	/** Sum of `count` over all pairs of a target and a box, applied to the requests of that pair. */
 	private sumOverPairs(count: (requests: NotifyingTarget['requests']) => number): number {
 		let sum = 0
 		for (const target of this.targets)
@@ -219,7 +224,7 @@
 		return sum
 	}
 
-	/** A box that hears others is listed already, as one that starts again. */
+	/** Creates a box. One that can reach others is registered in the store already, as after a restart. */
 	private async makeBox(name: string): Promise<TestBox> {
 		if (!this.options.arePeersConnected) return new TestBox(name, this.store)
 		const port = await freePort()
@@ -233,8 +238,7 @@
 			name,
 			headers: TEST_DIALECT.headers,
 			workMs: REQUEST_DURATION_MS,
-			answer: () =>
-				performance.now() < this.notifiedSince ? OK_ANSWER : (this.answers[name] ?? OK_ANSWER),
+			answer: () => (performance.now() < this.noticesFrom ? OK : (this.answers[name] ?? OK)),
 		})
 	}
 }
--- a/packages/gateway/src/lib/testRateFleet.ts
+++ b/packages/gateway/src/lib/testRateFleet.ts
@@ -11,32 +11,31 @@
 import { RateSharing } from './RateSharing.js'
 import { targetEntryOf } from './testBox.js'
 
-/** The only target: it names its rate in each answer. */
+/** The only target, which states its rate limit in each response. */
 export const TARGET: TargetEntry = { ...targetEntryOf('t', 'unused:1'), bornAt: 1_800_000_000_000 }
-/** Time until a datagram arrives, in ms. */
 const DATAGRAM_LATENCY_MS = 1
-/** Time from the choice of the target until the head of its answer is read, in ms. */
+/** Time from the choice of the target until its response head arrives. */
 const RESPONSE_HEAD_LATENCY_MS = 40
 
-/** What a {@link RateFleet} is made of. */
+/** Options of a {@link RateFleet}. */
 export interface RateFleetOptions {
 	readonly boxCount: number
-	/** What the target names in an answer that it begins now; undefined: nothing. */
+	/** Rate limit stated in a response that starts now; undefined if none. */
 	readonly advertisedRate: () => number | undefined
-	/** False: datagrams between these boxes are lost. */
+	/** False if datagrams between the two boxes are lost. */
 	readonly areConnected?: (from: number, to: number) => boolean
 }
 
-/** Boxes in virtual time that share what one target says of its rate. */
+/** Boxes in virtual time that share the rate limit of one target. */
 export class RateFleet {
-	/** When requests reached the target, and from which box. */
+	/** Arrivals of requests at the target. */
 	readonly requests: { readonly at: number; readonly box: number }[] = []
-	/** Datagrams, and their bytes, that boxes sent. */
+	/** Datagrams sent by all boxes, and their bytes. */
 	datagramCount = 0
 	byteCount = 0
-	/** Lines about what boxes were told by others. */
+	/** Log events about rate limits received from other boxes. */
 	readonly logEvents: LogEvent[] = []
-	private readonly boards: readonly TargetRegistry[]
+	private readonly registries: readonly TargetRegistry[]
 	private readonly sharings: readonly RateSharing[]
 	private readonly handlers: DatagramHandler[] = []
 	private datagramsInFlight: { readonly bytes: Buffer; readonly peer: number }[] = []
@@ -44,18 +43,18 @@
 
 	constructor(private readonly options: RateFleetOptions) {
 		const names = Array.from({ length: options.boxCount }, (_, i) => brandId<BoxName>(`box-${i}`))
-		this.boards = names.map((self) => this.makeBoard(self, names))
-		this.sharings = this.boards.map((board, self) => this.makeSharing(board, self))
+		this.registries = names.map((self) => this.createRegistry(self, names))
+		this.sharings = this.registries.map((registry, self) => this.makeSharing(registry, self))
 	}
 
 	stop(): void {
 		for (const sharing of this.sharings) sharing.stop()
 	}
 
-	/** A request arrives at a box. True where the target gets it. */
+	/** Handles a request at a box. Returns true if it is sent to the target. */
 	sendRequest(box: number): boolean {
-		const board = this.boards[box]
-		const place = board?.choose(
+		const registry = this.registries[box]
+		const placement = registry?.choose(
 			{
 				service: TARGET.service,
 				zone: TARGET.zone,
@@ -67,28 +66,28 @@
 			},
 			Date.now(),
 		)
-		if (!board || !place) return false
-		const handle = board.beginAttempt(place, undefined, Date.now())
-		const named = this.options.advertisedRate()
+		if (!registry || !placement) return false
+		const handle = registry.beginAttempt(placement, undefined, Date.now())
+		const rate = this.options.advertisedRate()
 		this.requests.push({ at: Date.now(), box })
 		setTimeout(() => {
-			const isNews = handle.noteRate(named, Date.now())
-			if (named !== undefined || isNews) this.sharings[box]?.note(TARGET, named, isNews)
+			const hasChanged = handle.noteRate(rate, Date.now())
+			if (rate !== undefined || hasChanged) this.sharings[box]?.note(TARGET, rate, hasChanged)
 			handle.end('good', Date.now())
 		}, RESPONSE_HEAD_LATENCY_MS)
 		return true
 	}
 
-	/** Boxes that may send to the target without a rate, as to any other. */
+	/** Number of boxes that may send to the target without a rate limit. */
 	get unlimitedBoxCount(): number {
 		const { service } = TARGET
-		return this.boards.filter((board) => {
-			const isNamed = board.noticeStatuses(Date.now()).some(({ rate }) => rate !== undefined)
-			return !isNamed && board.closedCause(service, Date.now()) === undefined
+		return this.registries.filter((registry) => {
+			const isLimited = registry.noticeStatuses(Date.now()).some(({ rate }) => rate !== undefined)
+			return !isLimited && registry.closedCause(service, Date.now()) === undefined
 		}).length
 	}
 
-	/** The most requests that reached the target in a time after a moment, in ms. */
+	/** Maximum number of requests in a window of `windowMs`, from the time `from` on. */
 	maxRequestsIn(windowMs: number, from = 0): number {
 		const times = this.requests.map(({ at }) => at).filter((at) => at >= from)
 		return maxCountInWindow(times, windowMs)
@@ -101,29 +100,29 @@
 		for (const { bytes, peer } of arriving) this.handlers[peer]?.(bytes)
 	}
 
-	private makeBoard(self: BoxName, boxes: readonly BoxName[]): TargetRegistry {
+	private createRegistry(self: BoxName, boxes: readonly BoxName[]): TargetRegistry {
 		const coldLimits = { overrun: 1.5, tolerance: 5 }
 		const rates = { self, boxes: () => boxes, isSettled: () => true, coldLimits }
-		const board = new TargetRegistry({ rateLimits: rates })
-		board.replace([TARGET], Date.now())
-		return board
+		const registry = new TargetRegistry({ rateLimits: rates })
+		registry.replace([TARGET], Date.now())
+		return registry
 	}
 
-	private makeSharing(board: TargetRegistry, self: number): RateSharing {
-		const { areConnected: areInTouch = () => true } = this.options
+	private makeSharing(registry: TargetRegistry, self: number): RateSharing {
+		const { areConnected = () => true } = this.options
 		return new RateSharing({
-			registry: board,
+			registry,
 			datagrams: {
 				onMessage: (handler) => (this.handlers[self] = handler),
 				send: (bytes, peer) => {
 					this.datagramCount++
 					this.byteCount += bytes.length
-					if (areInTouch(self, Number(peer)))
+					if (areConnected(self, Number(peer)))
 						this.datagramsInFlight.push({ bytes, peer: Number(peer) })
 					this.deliveryTimer ??= setTimeout(() => this.deliverDatagrams(), DATAGRAM_LATENCY_MS)
 				},
 			},
-			peers: () => this.boards.flatMap((_, box) => (box === self ? [] : [String(box)])),
+			peers: () => this.registries.flatMap((_, box) => (box === self ? [] : [String(box)])),
 			metrics: new Metrics(),
 			now: () => Date.now(),
 			log: (event) => this.logEvents.push(event),
--- a/packages/gateway/src/lib/watchFile.ts
+++ b/packages/gateway/src/lib/watchFile.ts
@@ -1,16 +1,16 @@
 import { statSync } from 'node:fs'
 
-/** Time between two looks at the file, in ms. */
+/** Time between two checks of the file. */
 const POLL_INTERVAL_MS = 1_000
 
-/** Calls back when the modification time of a file has changed; a file that is missing has none. @public */
-export function watchFile(file: string, changed: () => void): void {
-	let known = modifiedAt(file)
+/** Calls back when the modification time of a file has changed. A missing file counts as time 0. @public */
+export function watchFile(file: string, onChange: () => void): void {
+	let lastModified = modifiedAt(file)
 	setInterval(() => {
 		const now = modifiedAt(file)
-		if (now === known) return
-		known = now
-		changed()
+		if (now === lastModified) return
+		lastModified = now
+		onChange()
 	}, POLL_INTERVAL_MS)
 }
 
