--- a/packages/gateway/src/lib/ConnectionPool.ts
+++ b/packages/gateway/src/lib/ConnectionPool.ts
@@ -75,14 +75,14 @@
 			socket.destroy()
 			return
 		}
-		const drop = (): void => {
+		const discard = (): void => {
 			socket.destroy()
 		}
 		// Bytes on an idle connection belong to no request.
-		socket.on('data', drop)
-		socket.on('end', drop)
+		socket.on('data', discard)
+		socket.on('end', discard)
 		const now = this.now()
-		this.idle.push({ socket, idleSince: now, expiresAt: now + idleTimeoutMs, discard: drop })
+		this.idle.push({ socket, idleSince: now, expiresAt: now + idleTimeoutMs, discard })
 	}
 
 	/** Closes idle connections that have expired. */
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -50,7 +50,7 @@
 	readonly unreadHeaders: ReadonlySet<string>
 	/** The least urgent rank that targets accept. */
 	readonly leastUrgentRank: number
-	/** Status of a response of a target that is not the expected one. */
+	/** Response status of a target that is not the expected one. */
 	readonly wrongTargetStatus: number
 	/** Limits until the first configuration is applied. */
 	readonly initialLimits: RequestLimits
--- a/packages/gateway/src/lib/EventLoopDelay.test.ts
+++ b/packages/gateway/src/lib/EventLoopDelay.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { EventLoopDelay } from './EventLoopDelay.js'
 
-describe('LoopDelay', () => {
+describe('EventLoopDelay', () => {
 	/** How far the clock is ahead of the timers, in ms. */
 	let clockLeadMs: number
 	let delay: EventLoopDelay
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -38,8 +38,8 @@
 const ALLOWANCE_INTERVAL_MS = 400
 const MAINTENANCE_INTERVAL_MS = 250
 /**
- * Time until the load balancer stops sending callers to a box that is not ready, in ms. Later requests are refused,
- * because they might not finish within the shutdown grace.
+ * Time until the load balancer stops sending callers to a box that is not ready, in ms. Requests after that are
+ * refused, because they might not finish within the shutdown grace.
  */
 const READINESS_PROPAGATION_MS = 2_800
 /** Time before the end of the shutdown grace at which unspent tokens are returned at the latest, in ms. */
@@ -131,8 +131,7 @@
 			lenderAddresses: (account) => this.membership.lenderAddresses(account),
 			tokenPeers: peers,
 			metrics: options.metrics,
-			// Token budgets need a clock that never runs fast: a spending promise that looks older than it is would
-			// be broken.
+			// Token budgets need a clock that never runs fast, on which a spending limit would expire too early.
 			now: options.now,
 			wallTime: options.wallTime,
 			uptimeMs: options.aliveMs,
@@ -353,8 +352,8 @@
 				this.sharing.leaving.tell(target)
 			},
 			unknownHeaders: new UnknownHeaders(options),
-			onTargetRate: (target, perSecond, isNews) =>
-				this.sharing.rates.note(target, perSecond, isNews),
+			onTargetRate: (target, perSecond, hasChanged) =>
+				this.sharing.rates.note(target, perSecond, hasChanged),
 			retryBudget: (service) => this.serviceLimits.retryBudget(service),
 			sustainedDelayMs: () => this.loopDelay.sustainedMs,
 			currentDelayMs: () => this.loopDelay.currentMs,
--- a/packages/gateway/src/lib/GatewayOptions.ts
+++ b/packages/gateway/src/lib/GatewayOptions.ts
@@ -54,7 +54,7 @@
 	readonly log: (event: LogEvent) => void
 	/**
 	 * Monotonic clock, in ms: stops while the machine is suspended and never runs fast. For load, rates and spending
-	 * promises.
+	 * limits.
 	 */
 	readonly now: () => number
 	/**
--- a/packages/gateway/src/lib/GatewayReport.ts
+++ b/packages/gateway/src/lib/GatewayReport.ts
@@ -152,6 +152,6 @@
 	}
 }
 
-function countWhere<T>(rows: readonly T[], isCounted: (row: T) => boolean): number {
-	return rows.filter(isCounted).length
+function countWhere<T>(rows: readonly T[], matches: (row: T) => boolean): number {
+	return rows.filter(matches).length
 }
--- a/packages/gateway/src/lib/ServiceLimits.test.ts
+++ b/packages/gateway/src/lib/ServiceLimits.test.ts
@@ -1,6 +1,6 @@
 /**
- * With more boxes than allowed connections, each box used to open at least one, and the target reset the excess,
- * whose requests may have run. Counts the connections over all boxes.
+ * If there are more boxes than allowed connections, some boxes must open none: the target resets the excess, and
+ * requests on it may have run. Counts the connections over all boxes.
  */
 import { brandId, type BoxName, type ServiceName, type TargetName } from '@stallwing/core'
 import { describe, expect, it } from 'vitest'
--- a/packages/gateway/src/lib/ServiceLimits.ts
+++ b/packages/gateway/src/lib/ServiceLimits.ts
@@ -31,7 +31,7 @@
 	readonly maxConnections: number
 }
 
-/** Cached permissions; when the cache is full, it is cleared. */
+/** Cached permissions. The cache is cleared when it is full. */
 const MAX_CACHED_PERMISSIONS = 10_000
 
 /** This box's share of the limits that a service sets for the whole fleet. */
@@ -66,7 +66,7 @@
 		if (cached?.boxNames === boxNames && cached.maxConnections === limit) return cached.mayConnect
 		const mayConnect = rendezvousRank(target, this.options.self, boxNames, limit) !== undefined
 		if (this.permissions.size >= MAX_CACHED_PERMISSIONS) this.permissions.clear()
-		this.permissions.set(target, { mayConnect: mayConnect, boxNames, maxConnections: limit })
+		this.permissions.set(target, { mayConnect, boxNames, maxConnections: limit })
 		return mayConnect
 	}
 
--- a/packages/gateway/src/lib/UnknownHeaders.test.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.test.ts
@@ -6,7 +6,7 @@
 
 const TARGET = targetEntryOf('t', 'unused:1')
 
-describe('NewHeaders', () => {
+describe('UnknownHeaders', () => {
 	let logEvents: LogEvent[]
 	let headers: UnknownHeaders
 	beforeEach(() => {
--- a/packages/gateway/src/lib/UnknownHeaders.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.ts
@@ -20,12 +20,12 @@
  * is visible before ignoring it causes a failure.
  */
 export class UnknownHeaders {
-	private readonly known: ReadonlySet<string>
-	private readonly recorded = new Set<string>()
+	private readonly knownNames: ReadonlySet<string>
+	private readonly recordedNames = new Set<string>()
 
 	constructor(private readonly options: UnknownHeadersOptions) {
 		const { headers, unreadHeaders } = options.dialect
-		this.known = new Set([...headerNamesOf(headers), ...unreadHeaders])
+		this.knownNames = new Set([...headerNamesOf(headers), ...unreadHeaders])
 	}
 
 	/** Checks the headers of a response. */
@@ -33,7 +33,7 @@
 		const { log, metrics } = this.options
 		for (const name in headers) {
 			if (!this.shouldReport(name)) continue
-			this.recorded.add(name)
+			this.recordedNames.add(name)
 			metrics.count('stallwing_new_headers_total')
 			const fields = {
 				header: name.slice(0, MAX_LOGGED_CHARS),
@@ -46,7 +46,11 @@
 	}
 
 	private shouldReport(name: string): boolean {
-		if (this.known.has(name) || this.recorded.has(name) || this.recorded.size >= MAX_RECORDED_NAMES)
+		if (
+			this.knownNames.has(name) ||
+			this.recordedNames.has(name) ||
+			this.recordedNames.size >= MAX_RECORDED_NAMES
+		)
 			return false
 		return this.options.dialect.ownHeader.test(name)
 	}
--- a/packages/gateway/src/lib/buildTargetRequest.ts
+++ b/packages/gateway/src/lib/buildTargetRequest.ts
@@ -33,7 +33,7 @@
 	return { method: request.method, path: request.path, headers, body }
 }
 
-/** Methods that usually have no body, and need no length then. */
+/** Methods that usually have no body; an empty one gets no `Content-Length`. */
 function isUsuallyBodyless(method: string): boolean {
 	return method === 'GET' || method === 'HEAD' || method === 'DELETE' || method === 'OPTIONS'
 }
--- a/packages/gateway/src/lib/targetNotices.test.ts
+++ b/packages/gateway/src/lib/targetNotices.test.ts
@@ -1,6 +1,6 @@
 /**
- * While the store was unavailable, boxes ignored the leaving header and the backoff in responses. They kept sending
- * to targets that were leaving, and to overloaded ones, whose quick refusals made them look the cheapest.
+ * A box must act on the leaving header and the backoff in responses, because the list of targets may be outdated. A
+ * target that rejects requests quickly otherwise looks the cheapest.
  */
 import { afterEach, describe, expect, it } from 'vitest'
 import {
--- a/packages/gateway/src/lib/targetRates.test.ts
+++ b/packages/gateway/src/lib/targetRates.test.ts
@@ -1,6 +1,6 @@
 /**
- * Boxes used to ignore the rate limits in responses, so overloaded targets looked cheap and got more requests from
- * all boxes together than they accept. The limit must be divided among the boxes.
+ * The rate limit in the responses of a target must be divided among the boxes. An overloaded target has little work
+ * and otherwise looks the cheapest.
  */
 import { maxCountInWindow } from '@stallwing/core'
 import { afterEach, describe, expect, it } from 'vitest'
