--- a/packages/gateway/src/lib/Gateway.test.ts
+++ b/packages/gateway/src/lib/Gateway.test.ts
@@ -309,7 +309,7 @@
 	})
 
 	it('resumes a broken stream at another target if the route allows it', async () => {
-		const breakingStream: TargetHandler = (message, response) => {
+		const interruptedStream: TargetHandler = (message, response) => {
 			writeStreamHead(response)
 			const after = Number(message.headers['last-event-id'] ?? 0)
 			if (after > 0) {
@@ -320,7 +320,7 @@
 				setTimeout(() => response.destroy(), 20),
 			)
 		}
-		await startBox(['t1', breakingStream], ['t2', breakingStream])
+		await startBox(['t1', interruptedStream], ['t2', interruptedStream])
 		const result = await box.sendRequest('/resume/x')
 		expect(result.isComplete).toBe(true)
 		expect(result.body).toBe([1, 2, 3, 4].map(eventText).join(''))
@@ -395,8 +395,8 @@
 	})
 
 	it('refuses late requests during shutdown as not run and completes those in flight', async () => {
-		const open: ServerResponse[] = []
-		await startBox(['t1', (_message, response) => open.push(response)])
+		const openResponses: ServerResponse[] = []
+		await startBox(['t1', (_message, response) => openResponses.push(response)])
 		const result = box.sendRequest('/once/x')
 		while (box.receivedRequests.length === 0) await sleep(5)
 		const stopped = box.gateway.stop()
@@ -406,7 +406,7 @@
 		expect(refused.body).toContain('stopping')
 		expect(Number(refused.headers['retry-after'])).toBeGreaterThan(0)
 		expect(refused.headers.connection).toBe('close')
-		for (const response of open) response.end('late')
+		for (const response of openResponses) response.end('late')
 		expect(await result).toMatchObject({ status: 200, body: 'late', isComplete: true })
 		await stopped
 	})
