--- a/packages/store/src/lib/PrefixFollower.ts
+++ b/packages/store/src/lib/PrefixFollower.ts
@@ -2,32 +2,31 @@
 import * as E from 'fp-ts/lib/Either.js'
 import type { WatchableStore, StoreChange, StoreFault, StoreItem } from './KeyValueStore.js'
 
-/** Listeners and times of a {@link PrefixFollower}. @public */
+/** Callbacks and times of a {@link PrefixFollower}. @public */
 export interface PrefixFollowerOptions {
 	readonly prefix: string
-	/** Longest wait of one watch, in ms: a watch that went silent is noticed after it. */
+	/** Longest wait of one watch, in ms; bounds how long a silently failed connection goes unnoticed. */
 	readonly waitMs: number
-	/** Pause after a failed call, in ms; doubled after each further one, up to {@link MAX_RETRY_FACTOR}. */
+	/** Pause after a failed call, in ms; doubled after each further failure, up to {@link MAX_RETRY_FACTOR} times this. */
 	readonly retryMs: number
-	/** All items, after each change, and the revision up to which they are known. */
+	/** Called with all items after each change, and with the revision up to which they are known. */
 	readonly onItems: (items: ReadonlyMap<string, StoreItem>, at: StoreRevision) => void
-	/** The store answers again, or does not; told once for each change, before the items that it brings. */
+	/** Called when the store becomes reachable or unreachable, before `onItems` for the same response. */
 	readonly onContact: (contact: StoreContact) => void
 	readonly sleep: (ms: number) => Promise<void>
 }
 
-/** Whether the store answers, seen by one follower. */
+/** Whether one follower can reach the store. */
 export type StoreContact =
 	{ readonly kind: 'reached' } | { readonly kind: 'lost'; readonly fault: StoreFault }
 
-/** Each call is paid for, also one that is refused. */
+/** Largest multiple of the retry pause, which limits failing calls because each call is billed. */
 const MAX_RETRY_FACTOR = 8
 
 /**
- * Keeps a copy of all items below a prefix: lists them, watches from there, and lists anew when the
- * history is gone. A watch that heard nothing goes on from the last change that it did hear, not from
- * the revision that the store names: a store that lost changes on the way then says so by
- * `history-gone`, instead of leaving them out.
+ * Keeps a copy of all items below a prefix: lists them, watches for changes, and lists again after `history-gone`. A
+ * watch always starts after the last received change, not after the current revision of the store. If changes were lost,
+ * the store then reports `history-gone` instead of skipping them.
  * @public
  */
 export class PrefixFollower {
@@ -43,7 +42,7 @@
 		private readonly options: PrefixFollowerOptions,
 	) {}
 
-	/** Follows until {@link stop}. */
+	/** Follows the prefix until {@link stop}. */
 	async run(): Promise<void> {
 		while (!this.stopped) {
 			const fault = this.isListed ? await this.watchOnce() : await this.listOnce()
@@ -98,9 +97,9 @@
 	}
 
 	private noteContact(contact: StoreContact): void {
-		const reached = contact.kind === 'reached'
-		if (reached === this.isStoreReachable) return
-		this.isStoreReachable = reached
+		const isReachable = contact.kind === 'reached'
+		if (isReachable === this.isStoreReachable) return
+		this.isStoreReachable = isReachable
 		this.options.onContact(contact)
 	}
 }
--- a/packages/store/src/lib/StoreConnection.ts
+++ b/packages/store/src/lib/StoreConnection.ts
@@ -8,25 +8,25 @@
 	WriteResult,
 } from './KeyValueStore.js'
 
-/** How a call ended, and the era that the answer named; undefined where it named none or did not come. */
+/** Result of a call, with the era named in the response; undefined if there was no response or it named none. */
 export interface EraResponse<T> {
 	readonly era: number | undefined
 	readonly result: Either<StoreFault, T>
 }
 
 /**
- * Calls of the key-value service as they go over the wire: revisions are bare numbers, which say nothing without
- * the era that stands beside each answer. Calls never throw.
+ * Wire-level operations of the key-value service. Revisions are plain numbers, which are only comparable within the era
+ * of their responses. Calls never throw.
  */
 export interface StoreConnection {
-	/** Reads all items below a prefix; with `isStale`, they may be seconds old, which is cheap. */
+	/** Reads all items below a prefix; with `isStale`, a cheap read whose items may be seconds old. */
 	list(prefix: string, isStale: boolean): Promise<EraResponse<StoreListing<number>>>
 	watch(
 		prefix: string,
 		after: number,
 		waitMs: number,
 	): Promise<EraResponse<readonly StoreChange<number>[]>>
-	/** Writes an item if its revision has this number; 0: if the key is absent. */
+	/** Writes an item if its revision has the expected number; 0 requires that the key is absent. */
 	write(
 		key: string,
 		value: Buffer,
@@ -35,13 +35,13 @@
 	): Promise<EraResponse<WriteResult<number>>>
 	lease(ttlMs: number): Promise<EraResponse<StoreLease>>
 	read(key: string, isStale: boolean): Promise<EraResponse<StoreItem<number> | undefined>>
-	/** A cheap read of nothing. */
+	/** Cheap read of no item. */
 	ping(): Promise<EraResponse<unknown>>
 }
 
 const MAX_ERA_DIGITS = 15
 
-/** Reads an era as an answer spells it; undefined where it is no whole number. */
+/** Parses the era in a response; undefined if it is not an integer of at most {@link MAX_ERA_DIGITS} digits. */
 export function parseEra(text: unknown): number | undefined {
 	if (typeof text !== 'string' || text.length > MAX_ERA_DIGITS) return undefined
 	return /^\d+$/.test(text) ? Number(text) : undefined
--- a/packages/store/src/lib/jsonc.ts
+++ b/packages/store/src/lib/jsonc.ts
@@ -7,23 +7,23 @@
 } from 'jsonc-parser'
 import * as E from 'fp-ts/lib/Either.js'
 
-/** A fault of a file in JSON with comments. @public */
+/** An error in a JSON file with comments. @public */
 export interface FileFault {
 	readonly kind: 'file-fault'
 	readonly file: string
 	readonly line: number
-	/** Dotted path of the key; empty for a fault of the syntax. */
+	/** Dotted path of the key; empty for a syntax error. */
 	readonly key: string
 	readonly expected: string
 }
 
-/** Text of a fault: file, line, key, what was expected. @public */
+/** Formats an error as file, line, key and expected value. @public */
 export function describeFileFault(fault: FileFault): string {
 	const key = fault.key === '' ? '' : ` ${fault.key}:`
 	return `${fault.file}:${fault.line}:${key} expected ${fault.expected}`
 }
 
-/** Parses JSON with comments. Every syntax fault is listed. @public */
+/** Parses JSON with comments; returns all syntax errors. @public */
 export function parseJsonc(file: string, text: string): E.Either<readonly FileFault[], unknown> {
 	const errors: ParseError[] = []
 	const value: unknown = parse(text, errors, { allowTrailingComma: true })
@@ -39,7 +39,7 @@
 	)
 }
 
-/** Gives a fault of a value its line in the file. @public */
+/** Creates the error for an invalid value with its line in the file. @public */
 export function locateFault(
 	file: string,
 	text: string,
--- a/packages/store/src/lib/readDocument.ts
+++ b/packages/store/src/lib/readDocument.ts
@@ -1,7 +1,7 @@
 import * as E from 'fp-ts/lib/Either.js'
 import type { z } from 'zod'
 
-/** Why bytes are no document of some form: the field and what was expected. */
+/** Reason why a document cannot be read; `what` names the field and the problem. */
 export interface UnreadableDocument {
 	readonly kind: 'unreadable'
 	readonly what: string
@@ -9,7 +9,7 @@
 
 const UTF8 = new TextDecoder('utf-8', { fatal: true })
 
-/** Reads a JSON document of the store; bytes that are no UTF-8 are none. */
+/** Parses a JSON document of the store and validates it. Bytes that are not valid UTF-8 are an error. */
 export function readDocument<T>(
 	value: Buffer,
 	schema: z.ZodType<T>,
