--- a/packages/gateway/src/lib/CordonDirectory.test.ts
+++ b/packages/gateway/src/lib/CordonDirectory.test.ts
@@ -43,7 +43,7 @@
 		vi.useRealTimers()
 	})
 
-	it('stops boxes from using a cordoned zone soon, and lets them use it again once reopened', async () => {
+	it('stops all boxes from using a cordoned zone in time, and lets them use it again once reopened', async () => {
 		for (const { zones } of FLEETS) {
 			for (const seed of SEEDS) {
 				const fleet = await startFleet(zones, seed)
--- a/packages/gateway/src/lib/CordonDirectory.ts
+++ b/packages/gateway/src/lib/CordonDirectory.ts
@@ -26,8 +26,8 @@
 const CORDON_RETENTION_MS = 3_000
 
 /**
- * Applies the operator's cordons of availability zones from the store to the target registry. Only the key counts; the value may
- * hold any text. Zones without listed targets are included because targets may be added later.
+ * Applies the operator's cordons of availability zones from the store to the target registry. Only the key counts; the
+ * value may hold any text. Zones without listed targets are included because targets may be added later.
  */
 export class CordonDirectory {
 	/** Cordons in the newest list. */
--- a/packages/gateway/src/lib/FleetMembership.ts
+++ b/packages/gateway/src/lib/FleetMembership.ts
@@ -194,8 +194,8 @@
 	}
 
 	/**
-	 * Writes the item of this box unless the store already has it. Returns whether it did; undefined if the store failed
-	 * or another writer interfered.
+	 * Writes the item of this box unless the store already has it. Returns true if the store had it, false if it was
+	 * written, and undefined if the store failed or the write conflicted.
 	 */
 	private async register(): Promise<boolean | undefined> {
 		const { store, prefix, self } = this.options
--- a/packages/gateway/src/lib/PrefixFollower.test.ts
+++ b/packages/gateway/src/lib/PrefixFollower.test.ts
@@ -6,21 +6,21 @@
 describe('PrefixFollower', () => {
 	let fate: CallFate
 	let store: MemoryStore
-	let seen: Record<string, string>
+	let received: Record<string, string>
 	let contacts: string[]
 	let follower: PrefixFollower
 
 	beforeEach(() => {
 		vi.useFakeTimers()
 		fate = 'served'
-		seen = {}
+		received = {}
 		contacts = []
 		store = new MemoryStore({ now: () => Date.now(), sleep, fate: () => fate })
 		follower = new PrefixFollower(store.connect('box'), {
 			prefix: 'targets/',
 			waitMs: 1_000,
 			retryMs: 100,
-			onItems: (items) => (seen = textsByKey(items)),
+			onItems: (items) => (received = textsByKey(items)),
 			onContact: (contact) => contacts.push(contact.kind),
 			sleep,
 		})
@@ -36,14 +36,14 @@
 		store.put('other/x', 'no')
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/a': 'ready' })
+		expect(received).toEqual({ 'targets/a': 'ready' })
 		store.put('targets/a', 'draining')
 		store.put('targets/b', 'ready')
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/a': 'draining', 'targets/b': 'ready' })
+		expect(received).toEqual({ 'targets/a': 'draining', 'targets/b': 'ready' })
 		store.remove('targets/a')
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/b': 'ready' })
+		expect(received).toEqual({ 'targets/b': 'ready' })
 	})
 
 	it('lists again when the history with a change is gone', async () => {
@@ -56,7 +56,7 @@
 		store.compact()
 		fate = 'served'
 		await vi.advanceTimersByTimeAsync(1_500)
-		expect(seen).toEqual({ 'targets/a': 'draining' })
+		expect(received).toEqual({ 'targets/a': 'draining' })
 	})
 
 	it('resumes after the last received change, not after a watch without changes', async () => {
@@ -68,7 +68,7 @@
 		store.remove('targets/a')
 		store.compact()
 		await vi.advanceTimersByTimeAsync(2_000)
-		expect(seen).toEqual({})
+		expect(received).toEqual({})
 	})
 
 	it('reports once that the store is unreachable and once that it is reachable again', async () => {
--- a/packages/gateway/src/lib/TargetDirectory.ts
+++ b/packages/gateway/src/lib/TargetDirectory.ts
@@ -23,7 +23,7 @@
 	/** Called when a target gets no new work, so that its idle connections can be closed. */
 	readonly onDropped: (target: TargetEntry) => void
 	/** Called with targets that restarted under the same name, and with targets that are no longer in use. */
-	readonly onEnded: (restarted: readonly TargetEntry[], gone: readonly TargetEntry[]) => void
+	readonly onEnded: (restarted: readonly TargetEntry[], removed: readonly TargetEntry[]) => void
 	/** Time since the store last confirmed the list, in ms; Infinity if it never has. */
 	readonly listAgeMs: () => number
 	/** Time for which the store has been continuously reachable, as far as this box knows, in ms. */
@@ -121,7 +121,7 @@
 	maintain(): void {
 		const now = this.options.suspendAwareNow()
 		if (this.restored.isDue(now)) this.applyListedEntries()
-		else if (this.expired.lapsed.length > 0) this.updateBoard(this.expired.refresh(now))
+		else if (this.expired.lapsed.length > 0) this.updateRegistry(this.expired.refresh(now))
 	}
 
 	/** Updates the registry with the listed targets and those whose entries expired within the grace period. */
@@ -130,12 +130,12 @@
 		const entries = this.restored.apply([...this.entries.values()], this.revision, now)
 		const unusable = [...this.unreadable.values()].flatMap(({ target }) => target ?? [])
 		const expiredBefore = new Set(this.expired.lapsed.map((entry) => entry.name))
-		this.updateBoard(this.expired.update(entries, now, unusable))
+		this.updateRegistry(this.expired.update(entries, now, unusable))
 		const newlyExpired = this.expired.lapsed.filter((entry) => !expiredBefore.has(entry.name))
 		this.logAll('target-lapsed', newlyExpired)
 	}
 
-	private updateBoard(entries: readonly TargetEntry[]): void {
+	private updateRegistry(entries: readonly TargetEntry[]): void {
 		const { registry, now, wallTime } = this.options
 		const changes = registry.replace(entries, now(), wallTime())
 		this.logAll('target-joined', changes.added)
--- a/packages/gateway/src/lib/TrafficDirectory.ts
+++ b/packages/gateway/src/lib/TrafficDirectory.ts
@@ -29,8 +29,8 @@
 
 /**
  * Applies the configuration from the store and never reverts to an older one. Within an era of the store, a higher
- * revision is a newer configuration. After a restore of the store from a backup, a configuration with a lower version
- * than the one in force is held back until the operator has written a newer one.
+ * revision is a newer configuration. After a restore of the store from a backup, the store may hold a lower version than
+ * the one in force, which then stays until the operator writes it again or a newer one.
  */
 export class TrafficDirectory {
 	private revision = NO_REVISION
--- a/packages/gateway/src/lib/feedCodec.ts
+++ b/packages/gateway/src/lib/feedCodec.ts
@@ -33,7 +33,7 @@
 
 /** Smallest value that is compressed, in bytes. */
 const MIN_COMPRESSED_BYTES = 8 * 1024
-/** Fastest level: CPU time is scarcer on a box than bandwidth. */
+/** Fastest compression level, because a box has only a fraction of a CPU core. */
 const GZIP_LEVEL = 1
 /** Largest decompressed value that is accepted, in bytes. */
 const MAX_DECOMPRESSED_BYTES = 8 * 1024 * 1024
--- a/packages/gateway/src/lib/testFleet.ts
+++ b/packages/gateway/src/lib/testFleet.ts
@@ -107,9 +107,9 @@
 	}
 
 	/** Disconnects boxes from the store, and pairs of boxes from each other. */
-	partition(boxes: readonly string[], areApart: (a: string, b: string) => boolean): void {
+	partition(boxes: readonly string[], areDisconnected: (a: string, b: string) => boolean): void {
 		this.boxesWithoutStore = new Set(boxes)
-		this.areDisconnected = areApart
+		this.areDisconnected = areDisconnected
 		this.partitionChanges++
 	}
 
@@ -120,7 +120,7 @@
 	/** True if a box would send a request to this target. */
 	uses(box: string, target: string): boolean {
 		const registry = this.registries.get(box)
-		const place = registry?.choose(
+		const placement = registry?.choose(
 			{
 				service: SERVICE,
 				zone: ZONE,
@@ -132,7 +132,7 @@
 			},
 			Date.now(),
 		)
-		return place !== undefined
+		return placement !== undefined
 	}
 
 	/** Configuration in force on a box. */
@@ -332,7 +332,7 @@
 	}
 }
 
-const NO_ANSWER: StoreFault = { kind: 'no-answer', cause: 'cut off' }
+const NO_ANSWER: StoreFault = { kind: 'no-answer', cause: 'partitioned' }
 
 function memberOf(zone: string, index: number): FleetMember {
 	const box = `${zone}-${index}`
--- a/packages/store/src/lib/KeyValueStore.ts
+++ b/packages/store/src/lib/KeyValueStore.ts
@@ -48,7 +48,10 @@
 
 /** The operations of the key-value service that a box uses. Calls never throw. @public */
 export interface KeyValueStore {
-	/** Newest era named in a response; 0 before the first response, or if the store names no eras. */
+	/**
+	 * Newest era named in a response; 0 before the first response, or if the store names no eras. The store begins a new
+	 * era when it is restored from a backup; revisions of different eras are not comparable.
+	 */
 	readonly era: number
 	/** Reads all items below a prefix, linearizably. */
 	list(prefix: string): Promise<Either<StoreFault, StoreListing>>
