--- a/packages/gateway/src/lib/PrefixFollower.test.ts
+++ b/packages/gateway/src/lib/PrefixFollower.test.ts
@@ -6,21 +6,21 @@
 describe('PrefixFollower', () => {
 	let fate: CallFate
 	let store: MemoryStore
-	let seen: Record<string, string>
+	let received: Record<string, string>
 	let contacts: string[]
 	let follower: PrefixFollower
 
 	beforeEach(() => {
 		vi.useFakeTimers()
 		fate = 'served'
-		seen = {}
+		received = {}
 		contacts = []
 		store = new MemoryStore({ now: () => Date.now(), sleep, fate: () => fate })
 		follower = new PrefixFollower(store.connect('box'), {
 			prefix: 'targets/',
 			waitMs: 1_000,
 			retryMs: 100,
-			onItems: (items) => (seen = textOf(items)),
+			onItems: (items) => (received = textsByKey(items)),
 			onContact: (contact) => contacts.push(contact.kind),
 			sleep,
 		})
@@ -31,22 +31,22 @@
 		vi.useRealTimers()
 	})
 
-	it('sees what is written, changed and removed below its prefix', async () => {
+	it('receives items that are written, changed and deleted below its prefix', async () => {
 		store.put('targets/a', 'ready')
 		store.put('other/x', 'no')
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/a': 'ready' })
+		expect(received).toEqual({ 'targets/a': 'ready' })
 		store.put('targets/a', 'draining')
 		store.put('targets/b', 'ready')
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/a': 'draining', 'targets/b': 'ready' })
+		expect(received).toEqual({ 'targets/a': 'draining', 'targets/b': 'ready' })
 		store.remove('targets/a')
 		await vi.advanceTimersByTimeAsync(100)
-		expect(seen).toEqual({ 'targets/b': 'ready' })
+		expect(received).toEqual({ 'targets/b': 'ready' })
 	})
 
-	it('lists anew when the history with a change is gone', async () => {
+	it('lists again when the history with a change is gone', async () => {
 		store.put('targets/a', 'ready')
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
@@ -56,22 +56,22 @@
 		store.compact()
 		fate = 'served'
 		await vi.advanceTimersByTimeAsync(1_500)
-		expect(seen).toEqual({ 'targets/a': 'draining' })
+		expect(received).toEqual({ 'targets/a': 'draining' })
 	})
 
-	it('goes on after the last change it heard of, not after a silent watch', async () => {
+	it('resumes after the last received change, not after a watch without changes', async () => {
 		store.put('targets/a', 'ready')
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(3_000)
-		// Other keys raised the revision meanwhile; the store forgets the history up to there.
+		// Writes to other keys raise the revision, and the store compacts the history up to it.
 		for (let i = 0; i < 5; i++) store.put('other/x', String(i))
 		store.remove('targets/a')
 		store.compact()
 		await vi.advanceTimersByTimeAsync(2_000)
-		expect(seen).toEqual({})
+		expect(received).toEqual({})
 	})
 
-	it('tells once when the store is lost and once when it is back', async () => {
+	it('reports once that the store is unreachable and once that it is reachable again', async () => {
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
 		fate = 'refused'
@@ -82,6 +82,6 @@
 	})
 })
 
-function textOf(items: ReadonlyMap<string, StoreItem>): Record<string, string> {
+function textsByKey(items: ReadonlyMap<string, StoreItem>): Record<string, string> {
 	return Object.fromEntries([...items.values()].map((item) => [item.key, item.value.toString()]))
 }
