--- a/internal/bench/src/capacity.ts
+++ b/internal/bench/src/capacity.ts
@@ -10,7 +10,7 @@
 	SliceLedger,
 	type BoxName,
 	type BudgetName,
-	type IdentityRecord,
+	type IdempotencyRecord,
 	type Incarnation,
 	type ZoneLedgerValue,
 } from '@stallwing/core'
@@ -174,10 +174,10 @@
 	})
 }
 
-function makeRecords(count: number): Map<string, IdentityRecord> {
-	const records = new Map<string, IdentityRecord>()
+function makeRecords(count: number): Map<string, IdempotencyRecord> {
+	const records = new Map<string, IdempotencyRecord>()
 	for (let i = 0; i < count; i++) {
-		const id = brandId<IdentityRecord['id']>(`account-${i % 50}/zone-a.mx5ycai9.k${i}`)
+		const id = brandId<IdempotencyRecord['id']>(`account-${i % 50}/zone-a.mx5ycai9.k${i}`)
 		records.set(id, {
 			id,
 			bodyHash: `hash-of-a-body-${i}`,
@@ -186,7 +186,7 @@
 			state: 'billed',
 			box: brandId<BoxName>('zone-a-box-1'),
 			incarnation: brandId<Incarnation>('0mx5ycai9x-5609e5'),
-			target: brandId<NonNullable<IdentityRecord['target']>>('engine-1'),
+			target: brandId<NonNullable<IdempotencyRecord['target']>>('engine-1'),
 			budget: brandId<BudgetName>('budget-1'),
 			amount: i,
 			at: i,
--- a/internal/bench/src/gateway.ts
+++ b/internal/bench/src/gateway.ts
@@ -40,7 +40,7 @@
 	linesPerSecond: LOG_LINES_PER_SECOND,
 	write: (_batch, done) => done(),
 	now: () => performance.now(),
-	later: (callback, ms) => void setTimeout(callback, ms),
+	schedule: (callback, ms) => void setTimeout(callback, ms),
 })
 const gateway = new Gateway({
 	box: brandId<BoxName>('box-1'),
@@ -63,7 +63,7 @@
 	log: (event) => log.log(event),
 	now: () => performance.now(),
 	wallTime: () => Date.now(),
-	aliveMs: () => performance.now(),
+	uptimeMs: () => performance.now(),
 	suspendAwareNow: () => performance.now(),
 	random: Math.random,
 })
--- a/internal/bench/src/lib/gatewayWorld.ts
+++ b/internal/bench/src/lib/gatewayWorld.ts
@@ -9,7 +9,7 @@
 	type ZoneName,
 } from '@stallwing/core'
 import type { Dialect, StoreLayout } from '@stallwing/gateway'
-import { PLAIN_HEADERS, PLAIN_OWN_HEADER } from '@stallwing/standins'
+import { STANDIN_HEADERS, STANDIN_OWN_HEADER } from '@stallwing/standins'
 import * as E from 'fp-ts/lib/Either.js'
 
 const ENGINE = brandId<ServiceName>('engine')
@@ -88,7 +88,7 @@
 	cordonPrefix: 'config/cordon/',
 	targetsPrefix: 'targets/',
 	allowanceKey: 'allowance',
-	markPrefix: 'mark/',
+	spendingLimitPrefix: 'mark/',
 	boxPrefix: 'box/',
 	fleetPrefix: 'box',
 	quarantineKey: 'box-quarantine',
@@ -118,10 +118,10 @@
 
 /** Names of headers as the bench's own targets and callers spell them. */
 export const BENCH_DIALECT: Dialect = {
-	headers: PLAIN_HEADERS,
+	headers: STANDIN_HEADERS,
 	reservedHeaders: new Set(['authorization', 'account', 'expected-target', 'deadline-ms', 'rank']),
-	ownHeader: PLAIN_OWN_HEADER,
-	unreadHeaders: new Set(['own-instance']),
+	platformHeaderPattern: STANDIN_OWN_HEADER,
+	ignoredHeaders: new Set(['own-instance']),
 	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
 	initialLimits: LIMITS,
--- a/internal/bench/src/lib/measureWorld.ts
+++ b/internal/bench/src/lib/measureWorld.ts
@@ -62,11 +62,11 @@
 			this.messages++
 			this.bytes += length
 			this.byKind.set(message.kind, (this.byKind.get(message.kind) ?? 0) + length)
-			if (from.core?.board.roles.keeper)
+			if (from.core?.blackboard.roles.isLeader)
 				this.keeperSent.set(from.name, (this.keeperSent.get(from.name) ?? 0) + length)
 		}
 		world.onHandled = (box, _, ms) => {
-			if (box.core?.board.roles.keeper) this.keeperCore += ms
+			if (box.core?.blackboard.roles.isLeader) this.keeperCore += ms
 			else this.core += ms
 		}
 	}
--- a/internal/soak/src/lib/SimBox.ts
+++ b/internal/soak/src/lib/SimBox.ts
@@ -5,7 +5,7 @@
 	type BoxName,
 	type CoreAction,
 	type CoreEvent,
-	type Confession,
+	type FinalCountersMessage,
 	type Incarnation,
 	type Protections,
 	type ZoneName,
@@ -45,7 +45,7 @@
 	}
 
 	/** Starts the box anew. */
-	boot(confession?: Confession): void {
+	boot(confession?: FinalCountersMessage): void {
 		this.incarnation++
 		this.lastVersion = 0
 		const self = {
@@ -57,8 +57,8 @@
 		}
 		this.core = new RouterCore(self, () => this.world.random.next(), {
 			protections: this.protections,
-			throwOnBreach: true,
-			confession,
+			throwOnViolation: true,
+			finalCounters: confession,
 		})
 		this.tickLater(this.incarnation)
 	}
@@ -101,7 +101,7 @@
 	private perform(action: CoreAction, born: number): void {
 		if (action.kind === 'restart') {
 			this.world.callers.onBoxDown(this)
-			this.boot(action.confession)
+			this.boot(action.finalCounters)
 		} else if (action.kind === 'exit') this.kill()
 		else this.world.perform(this, born, action)
 	}
@@ -116,7 +116,7 @@
 
 	/** A bundle version in force never falls. */
 	private checkVersion(): void {
-		const version = this.core?.board.config.index?.bundle.version ?? 0
+		const version = this.core?.blackboard.config.index?.bundle.version ?? 0
 		if (version < this.lastVersion) this.world.fail('bundle-reverted', { box: this.id, version })
 		this.lastVersion = version
 	}
--- a/internal/soak/src/lib/World.ts
+++ b/internal/soak/src/lib/World.ts
@@ -187,7 +187,7 @@
 			case 'attach':
 				this.callers.onAttached(action.callId, action.id)
 				// A finished run's answer goes to a late caller at once.
-				if (box.core?.board.requests.runs.get(action.id)?.stage === 'done')
+				if (box.core?.blackboard.requests.runs.get(action.id)?.stage === 'done')
 					this.callers.onAnswer(box, action.id)
 				return
 			case 'fail-run':
@@ -254,7 +254,7 @@
 		action: Extract<CoreAction, { kind: 'cancel-attempt' }>,
 	): void {
 		const { runId, attempt } = action
-		const name = box.core?.board.requests.runs.get(runId)?.target
+		const name = box.core?.blackboard.requests.runs.get(runId)?.target
 		const target = name === undefined ? undefined : this.targets.get(name)
 		target?.cancel(runId, (outcome) => {
 			const end = { kind: 'attempt-ended', runId, attempt, outcome } as const
@@ -283,8 +283,8 @@
 		const box = this.boxes.find((row) => `${row.name}#${row.incarnationName()}` === fields.entry)
 		if (!box?.core) return
 		let started = 0
-		for (const run of box.core.board.requests.runs.values())
-			if (run.stage === 'running' && run.budget === fields.budget) started += run.worst
+		for (const run of box.core.blackboard.requests.runs.values())
+			if (run.stage === 'running' && run.budget === fields.budget) started += run.maxCharge
 		if (started > Number(fields.inDoubt))
 			this.fail('started-beyond-watermark', { started, ...fields })
 	}
--- a/internal/soak/src/lib/checkEnd.ts
+++ b/internal/soak/src/lib/checkEnd.ts
@@ -59,7 +59,7 @@
 function liveBills(world: World): Map<string, number> {
 	const live = new Map<string, number>()
 	for (const box of world.boxes) {
-		const ledger = box.core?.board.money.ledger
+		const ledger = box.core?.blackboard.slices.ledger
 		if (!ledger) continue
 		const key = entryKey(box.name, box.incarnationName())
 		for (const budget of ledger.budgets())
--- a/internal/soak/src/lib/safetyProtections.ts
+++ b/internal/soak/src/lib/safetyProtections.ts
@@ -21,7 +21,8 @@
 /** A world without one protection, of a shape in which its fault comes up often. */
 export function worldWithout(name: keyof Protections): Partial<WorldOptions> {
 	const protections = { ...ALL_PROTECTIONS, [name]: false }
-	if (name === 'witnessedBills') return { protections, timing: { counters: QUICK_COUNTERS_MS } }
+	if (name === 'witnessedBills')
+		return { protections, timing: { countersPeriodMs: QUICK_COUNTERS_MS } }
 	// A box without a witness takes all records with it.
 	if (name === 'forgotten') return { protections, boxesPerZone: 1 }
 	return { protections }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -42,13 +42,13 @@
 	laterRecord,
 	requestId,
 	keyOf,
-	type IdentityState,
+	type IdempotencyState,
 	type BillRow,
-	type IdentityRecord,
-	type LossMark,
-} from './lib/identity/IdentityRecord.js'
-export { type Ticket } from './lib/identity/LogSender.js'
-export { WitnessCopy, type MoneyRow, type LogBatch } from './lib/identity/WitnessCopy.js'
+	type IdempotencyRecord,
+	type RecordLoss,
+} from './lib/identity/IdempotencyRecord.js'
+export { type LogPosition } from './lib/identity/ReplicationLog.js'
+export { BoxReplica, type SliceRow, type ReplicationBatch } from './lib/identity/BoxReplica.js'
 export { maxCountInWindow } from './lib/maxCountInWindow.js'
 export { rendezvous, rendezvousFirst, rendezvousRank } from './lib/identity/rendezvous.js'
 export {
@@ -68,19 +68,19 @@
 	type CallId,
 } from './lib/ids.js'
 export {
-	PAST_VIEWS_KEPT,
+	MAX_PAST_VIEWS,
 	EMPTY_VIEW,
 	nextView,
 	findMember,
-	hadWitness,
+	hasSurvivingReplica,
 	hasIncarnation,
-	owningBoxes,
+	eligibleOwners,
 	ownerOf,
-	witnessOf,
+	replicaBoxOf,
 	membersAt,
 	zoneKeys,
 	shardKey,
-	HEAD_KEY,
+	BUNDLE_HEAD_KEY,
 	type Member,
 	type PastView,
 	type ZoneView,
@@ -131,15 +131,15 @@
 } from './lib/money/ZoneLedger.js'
 export { type OpId, type PlatformOp, type PlatformResult } from './lib/platform/PlatformOp.js'
 export { type RunStage, type Run, type WaitReason } from './lib/requests/Run.js'
-export { ALL_REQUEST_PROTECTIONS, type RequestProtections } from './lib/requests/RunAdvancer.js'
+export { ALL_REQUEST_PROTECTIONS, type RequestProtections } from './lib/requests/RunAdmission.js'
 export { DEFAULT_QUEUE_LIMITS, type QueueLimits } from './lib/requests/RunQueue.js'
 export {
-	emptyBlackboard,
+	createBlackboard,
 	isMember,
 	type ConfigSection,
 	type MembersSection,
-	type MoneySection,
-	type IdentitySection,
+	type SliceSection,
+	type IdempotencySection,
 	type TargetsSection,
 	type RequestsSection,
 	type RolesSection,
@@ -158,11 +158,11 @@
 export { type LoadReport } from './lib/router/LoadReport.js'
 export { type LogEventName, type LogEvent, type LogValue } from './lib/router/LogEvent.js'
 export {
-	type AskRow,
+	type GrantRequestRow,
 	type GrantRow,
-	type ZoneAddresses,
+	type ZoneMembers,
 	type PeerMessage,
-	type Confession,
+	type FinalCountersMessage,
 } from './lib/router/PeerMessage.js'
 export {
 	ALL_PROTECTIONS,
--- a/packages/core/src/lib/allowance/SpendingLimits.ts
+++ b/packages/core/src/lib/allowance/SpendingLimits.ts
@@ -84,7 +84,7 @@
 /** What a new process knows about the previous process of its box. */
 export interface PredecessorFacts {
 	readonly box: BoxName
-	readonly mark: SpendingLimits | undefined
+	readonly spendingLimits: SpendingLimits | undefined
 	/** Wall-clock time at which the new process started, in ms. The previous one had ended by then. */
 	readonly startedAt: Millis
 	/** Current store era. */
@@ -142,7 +142,7 @@
 
 function spentUnderSpendingLimits(
 	draws: BoxDraws,
-	{ era, mark, startedAt }: PredecessorFacts,
+	{ era, spendingLimits: mark, startedAt }: PredecessorFacts,
 ): Readonly<Record<AccountName, number>> {
 	const { drawn, holder } = draws
 	if (!mark || mark.holder !== holder || (mark.era ?? era) !== era) return drawn
--- a/packages/core/src/lib/bundle/validateBundle.ts
+++ b/packages/core/src/lib/bundle/validateBundle.ts
@@ -10,25 +10,25 @@
 	readonly expected: string
 }
 
-const NAME = /^[a-z0-9][a-z0-9-]{0,39}$/
+const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,39}$/
 const MAX_WEIGHT = 1_000_000
 
-function name<T extends Branded<string>>() {
+function nameSchema<T extends Branded<string>>() {
 	return z
 		.string()
-		.regex(NAME, 'a name of 1 to 40 lower-case letters, digits and dashes')
+		.regex(NAME_PATTERN, 'a name of 1 to 40 lower-case letters, digits and dashes')
 		.transform((text) => brandId<T>(text))
 }
 
-const amount = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER)
-const duration = z.number().int().min(0)
-const weight = z.number().int().min(0).max(MAX_WEIGHT)
+const amountSchema = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER)
+const durationSchema = z.number().int().min(0)
+const weightSchema = z.number().int().min(0).max(MAX_WEIGHT)
 
 const policySchema = z.strictObject({
-	sliceHorizonMs: duration.default(DEFAULT_POLICY.sliceHorizonMs),
-	trancheMs: duration.default(DEFAULT_POLICY.trancheMs),
-	retentionMs: duration.default(DEFAULT_POLICY.retentionMs),
-	clockSkewMs: duration.default(DEFAULT_POLICY.clockSkewMs),
+	sliceHorizonMs: durationSchema.default(DEFAULT_POLICY.sliceHorizonMs),
+	trancheMs: durationSchema.default(DEFAULT_POLICY.trancheMs),
+	retentionMs: durationSchema.default(DEFAULT_POLICY.retentionMs),
+	clockSkewMs: durationSchema.default(DEFAULT_POLICY.clockSkewMs),
 	urgentHeadroom: z.number().min(0).max(0.9).default(DEFAULT_POLICY.urgentHeadroom),
 	shardCount: z.number().int().min(1).max(4096).default(DEFAULT_POLICY.shardCount),
 	platformWrites: z.number().int().min(1).default(DEFAULT_POLICY.platformWrites),
@@ -38,24 +38,24 @@
 /** Schema of a bundle file. The settings reference is made from it. @public */
 export const bundleSchema = z.strictObject({
 	version: z.number().int().min(1),
-	zones: z.array(z.strictObject({ name: name<Bundle['zones'][number]['name']>() })).min(1),
+	zones: z.array(z.strictObject({ name: nameSchema<Bundle['zones'][number]['name']>() })).min(1),
 	models: z
 		.array(
 			z.strictObject({
 				name: z.string().min(1).max(100),
-				inputWeight: weight,
-				outputWeight: weight,
+				inputWeight: weightSchema,
+				outputWeight: weightSchema,
 				maxOutputTokens: z.number().int().min(1).max(1_000_000),
 			}),
 		)
 		.default([]),
 	services: z
-		.array(z.strictObject({ name: name<Branded<'Service'>>(), callCost: amount }))
+		.array(z.strictObject({ name: nameSchema<Branded<'Service'>>(), callCost: amountSchema }))
 		.default([]),
 	targets: z.array(
 		z.strictObject({
-			name: name<Bundle['targets'][number]['name']>(),
-			zone: name<Bundle['zones'][number]['name']>(),
+			name: nameSchema<Bundle['targets'][number]['name']>(),
+			zone: nameSchema<Bundle['zones'][number]['name']>(),
 			kind: z.enum(['engine', 'service']),
 			url: z.string().regex(/^https?:\/\/[^/]+$/, 'an http or https address without a path'),
 			serves: z.array(z.string()).min(1),
@@ -65,15 +65,18 @@
 	),
 	accounts: z.array(
 		z.strictObject({
-			name: name<Bundle['accounts'][number]['name']>(),
+			name: nameSchema<Bundle['accounts'][number]['name']>(),
 			keyHashes: z.array(z.string().regex(/^sha256:[0-9a-f]{64}$/, 'sha256:<64 hex digits>')),
-			budgets: z.array(name<Bundle['budgets'][number]['name']>()).min(1),
-			defaultBudget: name<Bundle['budgets'][number]['name']>(),
-			homeZones: z.array(name<Bundle['zones'][number]['name']>()).default([]),
+			budgets: z.array(nameSchema<Bundle['budgets'][number]['name']>()).min(1),
+			defaultBudget: nameSchema<Bundle['budgets'][number]['name']>(),
+			homeZones: z.array(nameSchema<Bundle['zones'][number]['name']>()).default([]),
 		}),
 	),
 	budgets: z.array(
-		z.strictObject({ name: name<Bundle['budgets'][number]['name']>(), prepaid: amount }),
+		z.strictObject({
+			name: nameSchema<Bundle['budgets'][number]['name']>(),
+			prepaid: amountSchema,
+		}),
 	),
 	policy: policySchema.default(DEFAULT_POLICY),
 })
@@ -87,7 +90,9 @@
 	const parsed = bundleSchema.safeParse(input)
 	if (!parsed.success) {
 		return E.left(
-			parsed.error.issues.map((issue) => fault(issue.path as (string | number)[], issue.message)),
+			parsed.error.issues.map((issue) =>
+				makeFault(issue.path as (string | number)[], issue.message),
+			),
 		)
 	}
 	const bundle: Bundle = parsed.data
@@ -95,7 +100,7 @@
 	return faults.length > 0 ? E.left(faults) : E.right(bundle)
 }
 
-function fault(path: readonly (string | number)[], expected: string): BundleFault {
+function makeFault(path: readonly (string | number)[], expected: string): BundleFault {
 	return { kind: 'bundle-fault', path, expected }
 }
 
@@ -114,27 +119,28 @@
 	]
 	bundle.targets.forEach((target, i) => {
 		const known = target.kind === 'engine' ? models : services
-		if (!zones.has(target.zone)) faults.push(fault(['targets', i, 'zone'], 'a zone of this bundle'))
+		if (!zones.has(target.zone))
+			faults.push(makeFault(['targets', i, 'zone'], 'a zone of this bundle'))
 		target.serves.forEach((served, j) => {
 			if (!known.has(served))
-				faults.push(fault(['targets', i, 'serves', j], `a known ${target.kind} name`))
+				faults.push(makeFault(['targets', i, 'serves', j], `a known ${target.kind} name`))
 		})
 	})
 	const seenHashes = new Set<string>()
 	bundle.accounts.forEach((account, i) => {
 		account.budgets.forEach((budget, j) => {
 			if (!budgets.has(budget))
-				faults.push(fault(['accounts', i, 'budgets', j], 'a budget of this bundle'))
+				faults.push(makeFault(['accounts', i, 'budgets', j], 'a budget of this bundle'))
 		})
 		if (!account.budgets.includes(account.defaultBudget))
-			faults.push(fault(['accounts', i, 'defaultBudget'], 'one of the budgets of the account'))
+			faults.push(makeFault(['accounts', i, 'defaultBudget'], 'one of the budgets of the account'))
 		account.homeZones.forEach((zone, j) => {
 			if (!zones.has(zone))
-				faults.push(fault(['accounts', i, 'homeZones', j], 'a zone of this bundle'))
+				faults.push(makeFault(['accounts', i, 'homeZones', j], 'a zone of this bundle'))
 		})
 		account.keyHashes.forEach((hash, j) => {
 			if (seenHashes.has(hash))
-				faults.push(fault(['accounts', i, 'keyHashes', j], 'a key that no other account has'))
+				faults.push(makeFault(['accounts', i, 'keyHashes', j], 'a key that no other account has'))
 			seenHashes.add(hash)
 		})
 	})
@@ -145,7 +151,7 @@
 	const seen = new Set<string>()
 	const faults: BundleFault[] = []
 	rows.forEach((row, i) => {
-		if (seen.has(row.name)) faults.push(fault([section, i, 'name'], 'a name used only once'))
+		if (seen.has(row.name)) faults.push(makeFault([section, i, 'name'], 'a name used only once'))
 		seen.add(row.name)
 	})
 	return faults
--- a/packages/core/src/lib/controllers/ConfigController.ts
+++ b/packages/core/src/lib/controllers/ConfigController.ts
@@ -1,6 +1,6 @@
 import type { Bundle } from '../bundle/Bundle.js'
 import { BundleIndex } from '../bundle/BundleIndex.js'
-import { HEAD_KEY } from '../membership/ZoneView.js'
+import { BUNDLE_HEAD_KEY } from '../membership/ZoneView.js'
 import type { ConfigSection } from '../router/Blackboard.js'
 import type { CoreContext } from '../router/CoreContext.js'
 import type { PlatformResult } from '../platform/PlatformOp.js'
@@ -19,9 +19,9 @@
  * version in its digest. A lower version is never taken.
  */
 export class ConfigController {
-	private watching = false
+	private isWatching = false
 	private headRevision = 0
-	private fetchedAt: Millis = -Infinity
+	private lastFetchAt: Millis = -Infinity
 
 	constructor(
 		private readonly context: CoreContext,
@@ -34,50 +34,50 @@
 	}
 
 	/** Notes that somebody holds a version. Fetches it if it is newer. */
-	offer(version: number): void {
-		this.section.offered = Math.max(this.section.offered, version)
+	noteVersion(version: number): void {
+		this.section.highestKnownVersion = Math.max(this.section.highestKnownVersion, version)
 		this.fetchIfNewer()
 	}
 
 	/** Takes a bundle whose signatures and hashes the shell has checked. */
-	take(bundle: Bundle): boolean {
+	apply(bundle: Bundle): boolean {
 		if (bundle.version <= this.version()) return false
 		this.section.index = new BundleIndex(bundle)
-		this.section.offered = Math.max(this.section.offered, bundle.version)
+		this.section.highestKnownVersion = Math.max(this.section.highestKnownVersion, bundle.version)
 		this.context.log('bundle-in-force', { version: bundle.version })
 		return true
 	}
 
 	tick(): void {
-		const { roles, members } = this.context.board
-		const alone = members.keeper === undefined
-		if (!this.watching && (roles.keeper || alone)) this.watchHead()
+		const { roles, members } = this.context.blackboard
+		const alone = members.leader === undefined
+		if (!this.isWatching && (roles.isLeader || alone)) this.watchHead()
 		this.fetchIfNewer()
 	}
 
 	private watchHead(): void {
-		this.watching = true
-		const timeoutMs = this.context.self.timing.watch
+		this.isWatching = true
+		const timeoutMs = this.context.self.timing.watchTimeoutMs
 		this.context.callPlatform(
-			{ kind: 'watch', key: HEAD_KEY, after: this.headRevision, timeoutMs },
+			{ kind: 'watch', key: BUNDLE_HEAD_KEY, after: this.headRevision, timeoutMs },
 			(result) => this.onHead(result),
 		)
 	}
 
 	private onHead(result: PlatformResult): void {
-		this.watching = false
+		this.isWatching = false
 		if (result.kind !== 'value') return
 		this.headRevision = result.revision
-		this.offer(headVersion(result.value))
+		this.noteVersion(headVersion(result.value))
 	}
 
 	private fetchIfNewer(): void {
-		if (this.section.offered <= this.version()) return
-		if (this.context.now - this.fetchedAt < FETCH_RETRY_MS) return
-		this.fetchedAt = this.context.now
-		const peers = this.context.board.members.view.members
+		if (this.section.highestKnownVersion <= this.version()) return
+		if (this.context.now - this.lastFetchAt < FETCH_RETRY_MS) return
+		this.lastFetchAt = this.context.now
+		const peers = this.context.blackboard.members.view.members
 			.filter((member) => member.box !== this.context.self.box)
 			.map((member) => member.address)
-		this.context.emit({ kind: 'fetch-bundle', version: this.section.offered, peers })
+		this.context.emit({ kind: 'fetch-bundle', version: this.section.highestKnownVersion, peers })
 	}
 }
--- a/packages/core/src/lib/controllers/MembershipController.ts
+++ b/packages/core/src/lib/controllers/MembershipController.ts
@@ -5,29 +5,29 @@
 import type { PlatformResult } from '../platform/PlatformOp.js'
 import type { MembersSection, RolesSection } from '../router/Blackboard.js'
 import type { CoreContext } from '../router/CoreContext.js'
-import type { PeerMessage, ZoneAddresses } from '../router/PeerMessage.js'
+import type { PeerMessage, ZoneMembers } from '../router/PeerMessage.js'
 import type { Millis } from '../units.js'
 
-interface Pulse {
+interface ReceivedHeartbeat {
 	member: Member
-	seenAt: Millis
-	drained: boolean
-	view: number
+	receivedAt: Millis
+	isDrained: boolean
+	viewNumber: number
 	/** Change number of the other zones' rows that it was last sent. */
-	zonesSent: number
+	sentZonesVersion: number
 }
 
 /** What the membership controller tells the rest of the core. */
 export interface MembershipHooks {
-	onView(before: ZoneView, after: ZoneView): void
+	onViewChange(before: ZoneView, after: ZoneView): void
 	onFenced(): void
-	onKeeper(gained: boolean): void
+	onLeaderChange(gained: boolean): void
 	bundleVersion(): number
-	offerBundle(version: number): void
-	drained(): boolean
+	noteBundleVersion(version: number): void
+	isDrained(): boolean
 }
 
-const PLATFORM_LOST_AFTER = 2
+const PLATFORM_DOWN_FAILURES = 2
 const LEASE_RENEWALS_PER_TTL = 2
 
 /**
@@ -36,22 +36,22 @@
  * values that are right whoever writes them, so a paused keeper does no harm.
  */
 export class MembershipController {
-	private readonly pulses = new Map<BoxName, Pulse>()
+	private readonly heartbeats = new Map<BoxName, ReceivedHeartbeat>()
 	private viewRevision = 0
-	private viewLoaded = false
-	private busy = { view: false, keeper: false, renew: false, zones: false }
-	private lease: string | undefined
-	private heartbeatAt: Millis = -Infinity
-	private renewedAt: Millis = 0
-	private soughtAt: Millis = -Infinity
-	private keeperSince: Millis = 0
-	private zonesReadAt: Millis = -Infinity
-	private readonly reports = new Map<TargetName, LoadReport>()
+	private isViewLoaded = false
+	private pendingCalls = { view: false, keeper: false, renew: false, zones: false }
+	private leaseId: string | undefined
+	private lastHeartbeatAt: Millis = -Infinity
+	private lastRenewalAt: Millis = 0
+	private lastLeaderQueryAt: Millis = -Infinity
+	private leaderSince: Millis = 0
+	private lastZonesReadAt: Millis = -Infinity
+	private readonly pendingLoadReports = new Map<TargetName, LoadReport>()
 	private leavingTargets: readonly TargetName[] = []
-	private zonesChanged = 0
-	private tickedAt: Millis = 0
-	private failures = 0
-	private resigning = false
+	private zonesVersion = 0
+	private lastTickAt: Millis = 0
+	private consecutivePlatformFailures = 0
+	private isResigning = false
 
 	constructor(
 		private readonly context: CoreContext,
@@ -61,97 +61,103 @@
 	) {}
 
 	/** This box as a member. */
-	me(): Member {
+	ownMember(): Member {
 		const { box, incarnation, address } = this.context.self
-		return { box, incarnation, address, leaving: this.section.stopping }
+		return { box, incarnation, address, leaving: this.section.isStopping }
 	}
 
 	/** Begins a planned stop. */
-	stop(): void {
-		this.section.stopping = true
-		this.heartbeatAt = -Infinity
+	beginStop(): void {
+		this.section.isStopping = true
+		this.lastHeartbeatAt = -Infinity
 	}
 
 	/** Tells the zone at the next tick, not at the next heartbeat, what is new here. */
-	announce(): void {
-		this.heartbeatAt = -Infinity
+	scheduleHeartbeat(): void {
+		this.lastHeartbeatAt = -Infinity
 	}
 
 	/** Gives the lease up, so that another box takes over at once. */
 	resign(): void {
-		if (!this.lease) return
-		this.resigning = true
-		for (const pulse of this.pulses.values()) this.sendDigest(pulse)
-		this.context.callPlatform({ kind: 'lease-drop', lease: this.lease }, () => undefined)
+		if (!this.leaseId) return
+		this.isResigning = true
+		for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
+		this.context.callPlatform({ kind: 'lease-drop', lease: this.leaseId }, () => undefined)
 		this.stepDown()
 	}
 
 	/** True where another member is not leaving: it is the one to be keeper. */
-	othersStay(): boolean {
+	hasStayingPeer(): boolean {
 		const { box } = this.context.self
 		return this.section.view.members.some((member) => member.box !== box && !member.leaving)
 	}
 
 	tick(): void {
 		const { timing } = this.context.self
-		const paused = this.context.now - this.tickedAt > timing.memberSilent / 2
-		this.tickedAt = this.context.now
+		const paused = this.context.now - this.lastTickAt > timing.memberTimeoutMs / 2
+		this.lastTickAt = this.context.now
 		// After a pause the heartbeats of the others are still unread: give them time.
-		if (paused) this.keeperSince = this.context.now
-		if (!this.viewLoaded) this.readView()
-		if (this.context.now - this.heartbeatAt >= timing.heartbeat) this.beat()
-		if (this.roles.keeper) this.keep()
-		else if (this.keeperIsSilent()) this.seekKeeper()
+		if (paused) this.leaderSince = this.context.now
+		if (!this.isViewLoaded) this.readView()
+		if (this.context.now - this.lastHeartbeatAt >= timing.heartbeatPeriodMs) this.sendHeartbeat()
+		if (this.roles.isLeader) this.runLeaderDuties()
+		else if (this.isLeaderSilent()) this.queryLeader()
 	}
 
 	/** Counts platform answers, to know whether it can be reached. */
-	notePlatform(result: PlatformResult): void {
+	notePlatformResult(result: PlatformResult): void {
 		if (result.kind === 'no-answer') {
-			this.failures++
-			if (this.failures >= PLATFORM_LOST_AFTER) this.setPlatform(false)
+			this.consecutivePlatformFailures++
+			if (this.consecutivePlatformFailures >= PLATFORM_DOWN_FAILURES) this.setPlatformUp(false)
 			return
 		}
-		this.failures = 0
-		this.setPlatform(true)
+		this.consecutivePlatformFailures = 0
+		this.setPlatformUp(true)
 	}
 
 	onHeartbeat(message: Extract<PeerMessage, { kind: 'heartbeat' }>): void {
 		const { member, drained, bundleVersion, view } = message
-		const known = this.pulses.get(member.box)
+		const known = this.heartbeats.get(member.box)
 		if (known && member.incarnation < known.member.incarnation) return
 		const same = known?.member.incarnation === member.incarnation
-		const zonesSent = same ? known.zonesSent : -1
-		const pulse = { member, seenAt: this.context.now, drained, view, zonesSent }
-		this.pulses.set(member.box, pulse)
-		this.hooks.offerBundle(bundleVersion)
+		const zonesSent = same ? known.sentZonesVersion : -1
+		const pulse = {
+			member,
+			receivedAt: this.context.now,
+			isDrained: drained,
+			viewNumber: view,
+			sentZonesVersion: zonesSent,
+		}
+		this.heartbeats.set(member.box, pulse)
+		this.hooks.noteBundleVersion(bundleVersion)
 		const behind = view < this.section.view.number
-		if (this.roles.keeper && (!same || behind)) this.sendDigest(pulse)
+		if (this.roles.isLeader && (!same || behind)) this.sendDigest(pulse)
 	}
 
 	/** Load reports that this box collected, for the next digest. */
-	shareReports(reports: readonly LoadReport[]): void {
-		for (const report of reports) this.reports.set(report.target, report)
+	addLoadReports(reports: readonly LoadReport[]): void {
+		for (const report of reports) this.pendingLoadReports.set(report.target, report)
 	}
 
 	/** Targets that the platform's list calls leaving, for the digests. */
-	shareLeaving(targets: readonly TargetName[]): void {
+	setLeavingTargets(targets: readonly TargetName[]): void {
 		this.leavingTargets = targets
 	}
 
 	onDigest(message: Extract<PeerMessage, { kind: 'digest' }>): void {
 		if (message.term < this.section.term) return
-		if (message.keeper.box !== this.context.self.box && this.roles.keeper) this.stepDown()
+		if (message.keeper.box !== this.context.self.box && this.roles.isLeader) this.stepDown()
 		this.section.term = message.term
-		this.section.keeper = message.resigned ? undefined : message.keeper
-		this.section.keeperSeenAt = this.context.now
-		this.setPlatform(message.platformUp)
-		for (const zone of message.zones) this.noteZone(zone)
-		this.hooks.offerBundle(message.bundleVersion)
-		if (message.view) this.takeView(message.view)
+		this.section.leader = message.resigned ? undefined : message.keeper
+		this.section.leaderSeenAt = this.context.now
+		this.setPlatformUp(message.platformUp)
+		for (const zone of message.zones) this.updateZone(zone)
+		this.hooks.noteBundleVersion(message.bundleVersion)
+		if (message.view) this.applyView(message.view)
 	}
 
 	/** Takes a view if it is newer than the one held. */
-	takeView(view: ZoneView): void {
+	applyView(view: ZoneView): void {
 		const before = this.section.view
 		if (view.number <= before.number) return
 		const { box, incarnation } = this.context.self
@@ -164,177 +170,187 @@
 			this.hooks.onFenced()
 			return
 		}
-		this.hooks.onView(before, view)
+		this.hooks.onViewChange(before, view)
 	}
 
-	private keeperIsSilent(): boolean {
-		if (!this.section.keeper) return true
-		return this.context.now - this.section.keeperSeenAt > this.context.self.timing.keeperSilent
+	private isLeaderSilent(): boolean {
+		if (!this.section.leader) return true
+		return this.context.now - this.section.leaderSeenAt > this.context.self.timing.leaderTimeoutMs
 	}
 
 	/** A stopping box leaves the role to those that stay, unless none of them takes it. */
-	private mayBeKeeper(): boolean {
-		const silence = this.context.now - this.section.keeperSeenAt
-		const nobody = silence > this.context.self.timing.keeperLease
-		return !this.section.stopping || !this.othersStay() || nobody
+	private canBecomeLeader(): boolean {
+		const silence = this.context.now - this.section.leaderSeenAt
+		const nobody = silence > this.context.self.timing.leaderLeaseMs
+		return !this.section.isStopping || !this.hasStayingPeer() || nobody
 	}
 
-	private beat(): void {
-		this.heartbeatAt = this.context.now
+	private sendHeartbeat(): void {
+		this.lastHeartbeatAt = this.context.now
 		const heartbeat: PeerMessage = {
 			kind: 'heartbeat',
-			member: this.me(),
+			member: this.ownMember(),
 			view: this.section.view.number,
 			bundleVersion: this.hooks.bundleVersion(),
-			drained: this.section.stopping && this.hooks.drained(),
+			drained: this.section.isStopping && this.hooks.isDrained(),
 		}
-		if (this.roles.keeper) {
+		if (this.roles.isLeader) {
 			this.onHeartbeat(heartbeat)
-			this.section.keeperSeenAt = this.context.now
-			for (const pulse of this.pulses.values()) this.sendDigest(pulse)
-			this.reports.clear()
+			this.section.leaderSeenAt = this.context.now
+			for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
+			this.pendingLoadReports.clear()
 			return
 		}
-		if (this.section.keeper) this.context.send(this.section.keeper, heartbeat)
+		if (this.section.leader) this.context.send(this.section.leader, heartbeat)
 	}
 
-	private sendDigest(pulse: Pulse): void {
+	private sendDigest(pulse: ReceivedHeartbeat): void {
 		const { member } = pulse
 		if (member.box === this.context.self.box) return
-		const { view, term, platformUp, zones } = this.section
-		const behind = pulse.view < view.number
-		const zonesDue = pulse.zonesSent < this.zonesChanged
-		pulse.zonesSent = this.zonesChanged
+		const { view, term, isPlatformUp: platformUp, zones } = this.section
+		const behind = pulse.viewNumber < view.number
+		const zonesDue = pulse.sentZonesVersion < this.zonesVersion
+		pulse.sentZonesVersion = this.zonesVersion
 		this.context.send(member, {
 			kind: 'digest',
 			...(behind ? { view } : {}),
-			keeper: this.me(),
+			keeper: this.ownMember(),
 			term,
-			resigned: this.resigning,
+			resigned: this.isResigning,
 			platformUp,
 			bundleVersion: this.hooks.bundleVersion(),
 			zones: zonesDue ? [...zones.values()] : [],
-			reports: [...this.reports.values()],
+			reports: [...this.pendingLoadReports.values()],
 			leavingTargets: this.leavingTargets,
 		})
 	}
 
 	private readView(): void {
-		if (this.busy.view) return
-		this.busy.view = true
+		if (this.pendingCalls.view) return
+		this.pendingCalls.view = true
 		this.context.callPlatform(
 			{ kind: 'get', key: zoneKeys.view(this.context.self.zone) },
 			(result) => {
-				this.busy.view = false
-				if (result.kind === 'absent') this.viewLoaded = true
+				this.pendingCalls.view = false
+				if (result.kind === 'absent') this.isViewLoaded = true
 				if (result.kind !== 'value') return
-				this.viewLoaded = true
+				this.isViewLoaded = true
 				this.viewRevision = result.revision
-				this.takeView(result.value as ZoneView)
+				this.applyView(result.value as ZoneView)
 			},
 		)
 	}
 
-	private seekKeeper(): void {
+	private queryLeader(): void {
 		const { timing, zone } = this.context.self
-		if (this.busy.keeper || this.context.now - this.soughtAt < timing.heartbeat) return
-		this.soughtAt = this.context.now
-		this.busy.keeper = true
+		if (
+			this.pendingCalls.keeper ||
+			this.context.now - this.lastLeaderQueryAt < timing.heartbeatPeriodMs
+		)
+			return
+		this.lastLeaderQueryAt = this.context.now
+		this.pendingCalls.keeper = true
 		this.context.callPlatform({ kind: 'get', key: zoneKeys.keeper(zone) }, (result) => {
-			this.busy.keeper = false
-			if (result.kind === 'value') this.meetKeeper(result.value as Member, result.revision)
-			if (result.kind === 'absent' && this.mayBeKeeper()) this.takeLease()
+			this.pendingCalls.keeper = false
+			if (result.kind === 'value') this.followLeader(result.value as Member, result.revision)
+			if (result.kind === 'absent' && this.canBecomeLeader()) this.createLease()
 		})
 	}
 
-	private meetKeeper(keeper: Member, term: number): void {
+	private followLeader(keeper: Member, term: number): void {
 		const mine = keeper.box === this.context.self.box
 		if (mine || term < this.section.term) return
-		this.section.keeper = keeper
+		this.section.leader = keeper
 		this.section.term = term
-		this.heartbeatAt = -Infinity
+		this.lastHeartbeatAt = -Infinity
 	}
 
-	private takeLease(): void {
-		this.busy.keeper = true
-		const ttlMs = this.context.self.timing.keeperLease
+	private createLease(): void {
+		this.pendingCalls.keeper = true
+		const ttlMs = this.context.self.timing.leaderLeaseMs
 		this.context.callPlatform({ kind: 'lease-create', ttlMs }, (result) => {
-			this.busy.keeper = false
-			if (result.kind === 'lease') this.claimKeeper(result.lease)
+			this.pendingCalls.keeper = false
+			if (result.kind === 'lease') this.claimLeadership(result.lease)
 		})
 	}
 
-	private claimKeeper(lease: string): void {
-		this.busy.keeper = true
+	private claimLeadership(lease: string): void {
+		this.pendingCalls.keeper = true
 		const key = zoneKeys.keeper(this.context.self.zone)
-		const op = { kind: 'cas', key, expected: 0, value: this.me(), lease } as const
+		const op = { kind: 'cas', key, expected: 0, value: this.ownMember(), lease } as const
 		this.context.callPlatform(op, (result) => {
-			this.busy.keeper = false
-			if (result.kind === 'written') this.becomeKeeper(lease, result.revision)
+			this.pendingCalls.keeper = false
+			if (result.kind === 'written') this.becomeLeader(lease, result.revision)
 		})
 	}
 
-	private becomeKeeper(lease: string, term: number): void {
-		this.lease = lease
-		this.roles.keeper = true
-		this.keeperSince = this.context.now
-		this.renewedAt = this.context.now
-		this.section.keeper = this.me()
+	private becomeLeader(lease: string, term: number): void {
+		this.leaseId = lease
+		this.roles.isLeader = true
+		this.leaderSince = this.context.now
+		this.lastRenewalAt = this.context.now
+		this.section.leader = this.ownMember()
 		this.section.term = term
-		this.section.keeperSeenAt = this.context.now
-		this.viewLoaded = false
-		this.heartbeatAt = -Infinity
-		this.pulses.clear()
+		this.section.leaderSeenAt = this.context.now
+		this.isViewLoaded = false
+		this.lastHeartbeatAt = -Infinity
+		this.heartbeats.clear()
 		this.context.log('keeper-gained', { term })
 		for (const member of this.section.view.members)
-			this.sendDigest({ member, seenAt: 0, drained: false, view: 0, zonesSent: -1 })
-		this.hooks.onKeeper(true)
+			this.sendDigest({
+				member,
+				receivedAt: 0,
+				isDrained: false,
+				viewNumber: 0,
+				sentZonesVersion: -1,
+			})
+		this.hooks.onLeaderChange(true)
 	}
 
 	private stepDown(): void {
-		this.lease = undefined
-		this.roles.keeper = false
-		this.section.keeper = undefined
-		this.pulses.clear()
+		this.leaseId = undefined
+		this.roles.isLeader = false
+		this.section.leader = undefined
+		this.heartbeats.clear()
 		this.context.log('keeper-lost', { term: this.section.term })
-		this.hooks.onKeeper(false)
+		this.hooks.onLeaderChange(false)
 	}
 
-	private keep(): void {
-		this.renew()
-		this.changeView()
-		this.readZones()
+	private runLeaderDuties(): void {
+		this.renewLease()
+		this.updateView()
+		this.readOtherZones()
 	}
 
-	private renew(): void {
-		const period = this.context.self.timing.keeperLease / LEASE_RENEWALS_PER_TTL
-		const lease = this.lease
-		if (!lease || this.busy.renew || this.context.now - this.renewedAt < period) return
-		this.busy.renew = true
+	private renewLease(): void {
+		const period = this.context.self.timing.leaderLeaseMs / LEASE_RENEWALS_PER_TTL
+		const lease = this.leaseId
+		if (!lease || this.pendingCalls.renew || this.context.now - this.lastRenewalAt < period) return
+		this.pendingCalls.renew = true
 		this.context.callPlatform({ kind: 'lease-renew', lease }, (result) => {
-			this.busy.renew = false
-			this.renewedAt = this.context.now
-			if (result.kind === 'lease-lost' && this.lease === lease) this.stepDown()
+			this.pendingCalls.renew = false
+			this.lastRenewalAt = this.context.now
+			if (result.kind === 'lease-lost' && this.leaseId === lease) this.stepDown()
 		})
 	}
 
 	/** Writes the next view once the boxes that are alive differ from the members. */
-	private changeView(): void {
+	private updateView(): void {
 		const { timing } = this.context.self
-		const settled = this.context.now - this.keeperSince >= timing.memberSilent
+		const settled = this.context.now - this.leaderSince >= timing.memberTimeoutMs
 		const first = this.section.view.number === 0
-		if (!this.viewLoaded || this.busy.view || (!settled && !first)) return
+		if (!this.isViewLoaded || this.pendingCalls.view || (!settled && !first)) return
 		const members = this.liveMembers()
-		if (sameMembers(members, this.section.view.members)) return
+		if (areMembersEqual(members, this.section.view.members)) return
 		this.writeView(nextView(this.section.view, members))
 	}
 
 	private liveMembers(): Member[] {
 		const members: Member[] = []
-		for (const pulse of this.pulses.values()) {
-			const silent = this.context.now - pulse.seenAt > this.context.self.timing.memberSilent
-			if (!silent && !pulse.drained && !this.isRetired(pulse.member)) members.push(pulse.member)
-			if (silent) this.pulses.delete(pulse.member.box)
+		for (const pulse of this.heartbeats.values()) {
+			const silent = this.context.now - pulse.receivedAt > this.context.self.timing.memberTimeoutMs
+			if (!silent && !pulse.isDrained && !this.isRetired(pulse.member)) members.push(pulse.member)
+			if (silent) this.heartbeats.delete(pulse.member.box)
 		}
 		return members.sort((a, b) => (a.box < b.box ? -1 : 1))
 	}
@@ -344,51 +360,52 @@
 	}
 
 	private writeView(view: ZoneView): void {
-		this.busy.view = true
+		this.pendingCalls.view = true
 		const key = zoneKeys.view(this.context.self.zone)
 		const op = { kind: 'cas', key, expected: this.viewRevision, value: view } as const
 		this.context.callPlatform(op, (result) => {
-			this.busy.view = false
+			this.pendingCalls.view = false
 			if (result.kind !== 'written') {
-				this.viewLoaded = false
+				this.isViewLoaded = false
 				return
 			}
 			this.viewRevision = result.revision
-			this.takeView(view)
-			for (const pulse of this.pulses.values()) this.sendDigest(pulse)
+			this.applyView(view)
+			for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
 		})
 	}
 
-	private readZones(): void {
-		const index = this.context.board.config.index
-		const due = this.context.now - this.zonesReadAt >= this.context.self.timing.zoneViews
+	private readOtherZones(): void {
+		const index = this.context.blackboard.config.index
+		const due =
+			this.context.now - this.lastZonesReadAt >= this.context.self.timing.zoneViewsPeriodMs
 		if (!index || !due) return
-		this.zonesReadAt = this.context.now
+		this.lastZonesReadAt = this.context.now
 		for (const zone of index.zones) {
 			if (zone === this.context.self.zone) continue
 			this.context.callPlatform({ kind: 'get', key: zoneKeys.view(zone) }, (result) => {
 				if (result.kind !== 'value') return
 				const { number, members } = result.value as ZoneView
-				this.noteZone({ zone, view: number, members })
+				this.updateZone({ zone, view: number, members })
 			})
 		}
 	}
 
-	private noteZone(row: ZoneAddresses): void {
+	private updateZone(row: ZoneMembers): void {
 		const known = this.section.zones.get(row.zone)
 		if (known && row.view <= known.view) return
 		this.section.zones.set(row.zone, row)
-		this.zonesChanged++
+		this.zonesVersion++
 	}
 
-	private setPlatform(up: boolean): void {
-		if (this.section.platformUp === up) return
-		this.section.platformUp = up
-		this.context.log(up ? 'platform-back' : 'platform-lost', { keeper: this.roles.keeper })
+	private setPlatformUp(up: boolean): void {
+		if (this.section.isPlatformUp === up) return
+		this.section.isPlatformUp = up
+		this.context.log(up ? 'platform-back' : 'platform-lost', { keeper: this.roles.isLeader })
 	}
 }
 
-function sameMembers(a: readonly Member[], b: readonly Member[]): boolean {
+function areMembersEqual(a: readonly Member[], b: readonly Member[]): boolean {
 	if (a.length !== b.length) return false
 	return a.every((member, i) => {
 		const other = b[i]
--- a/packages/core/src/lib/controllers/TargetController.ts
+++ b/packages/core/src/lib/controllers/TargetController.ts
@@ -9,24 +9,24 @@
 import type { Priority } from '../bundle/Bundle.js'
 import type { Millis } from '../units.js'
 
-const EJECT_AFTER = 3
-const EJECT_MS: Millis = 5_000
-const FAILURE_SMOOTHING = 0.1
+const EJECTION_FAILURES = 3
+const EJECTION_MS: Millis = 5_000
+const FAILURE_RATE_SMOOTHING = 0.1
 
 /** What the choice needs to know of a run. */
-export interface ChoosingRun {
+export interface TargetQuery {
 	readonly id: RequestId
 	readonly work: Work
 	readonly priority: Priority
 	/** Targets that were tried already; taken again only where there is no other. */
-	readonly tried: ReadonlySet<TargetName>
+	readonly triedTargets: ReadonlySet<TargetName>
 }
 
 /** Targets of the zone: which one a request goes to, and which get none. */
 export class TargetController {
-	private bundleVersion = 0
+	private appliedBundleVersion = 0
 	private listedLeaving = new Set<TargetName>()
-	private readonly selfLeaving = new Set<TargetName>()
+	private readonly reportedLeaving = new Set<TargetName>()
 
 	constructor(
 		private readonly context: CoreContext,
@@ -35,25 +35,25 @@
 	) {}
 
 	tick(): void {
-		const index = this.context.board.config.index
-		if (!index || index.bundle.version === this.bundleVersion) return
-		this.bundleVersion = index.bundle.version
-		this.follow(index.targetsOf(this.context.self.zone))
+		const index = this.context.blackboard.config.index
+		if (!index || index.bundle.version === this.appliedBundleVersion) return
+		this.appliedBundleVersion = index.bundle.version
+		this.applyRecords(index.targetsOf(this.context.self.zone))
 	}
 
 	/** True where the zone has a target for this work, free or not. */
-	serves(work: Work): boolean {
+	hasTargetFor(work: Work): boolean {
 		for (const state of this.section.states.values())
-			if (!state.leaving && doesServe(state.record, work)) return true
+			if (!state.leaving && servesWork(state.record, work)) return true
 		return false
 	}
 
 	/** Chooses a target and says why; undefined where none is free. */
-	choose(run: ChoosingRun): TargetState | undefined {
-		const { id, work, priority, tried } = run
-		const headroom = this.context.board.config.index?.bundle.policy.urgentHeadroom ?? 0
+	chooseTarget(run: TargetQuery): TargetState | undefined {
+		const { id, work, priority, triedTargets: tried } = run
+		const headroom = this.context.blackboard.config.index?.bundle.policy.urgentHeadroom ?? 0
 		const candidates = [...this.section.states.values()].filter((state) => {
-			return this.isOpen(state, priority, headroom) && doesServe(state.record, work)
+			return this.canTakeRequest(state, priority, headroom) && servesWork(state.record, work)
 		})
 		const fresh = candidates.filter((state) => !tried.has(state.record.name))
 		const pool = fresh.length > 0 ? fresh : candidates
@@ -75,7 +75,7 @@
 		return choice.state
 	}
 
-	started(name: TargetName): void {
+	onAttemptStarted(name: TargetName): void {
 		const state = this.section.states.get(name)
 		if (!state) return
 		state.inFlight++
@@ -83,14 +83,14 @@
 		if (state.ejectedUntil > 0) state.isProbing = true
 	}
 
-	ended(name: TargetName, failed: boolean): void {
+	onAttemptEnded(name: TargetName, failed: boolean): void {
 		const state = this.section.states.get(name)
 		if (!state) return
 		state.inFlight = Math.max(0, state.inFlight - 1)
-		state.failureRate += FAILURE_SMOOTHING * ((failed ? 1 : 0) - state.failureRate)
+		state.failureRate += FAILURE_RATE_SMOOTHING * ((failed ? 1 : 0) - state.failureRate)
 		state.consecutiveFailures = failed ? state.consecutiveFailures + 1 : 0
 		if (failed) this.noteFailure(state)
-		else this.restore(state)
+		else this.endEjection(state)
 	}
 
 	onLoad(reports: readonly LoadReport[]): void {
@@ -100,43 +100,43 @@
 			state.reportedLoad = report.running + report.waiting
 			state.reportedAt = report.at
 			state.startedSinceReport = 0
-			if (report.leaving) this.selfLeaving.add(report.target)
-			else this.selfLeaving.delete(report.target)
-			this.markLeaving(state)
+			if (report.leaving) this.reportedLeaving.add(report.target)
+			else this.reportedLeaving.delete(report.target)
+			this.updateLeaving(state)
 		}
 	}
 
 	/** Targets that the platform's list calls leaving. */
-	onLeaving(targets: readonly TargetName[]): void {
+	setListedLeaving(targets: readonly TargetName[]): void {
 		this.listedLeaving = new Set(targets)
-		for (const state of this.section.states.values()) this.markLeaving(state)
+		for (const state of this.section.states.values()) this.updateLeaving(state)
 	}
 
-	private isOpen(state: TargetState, priority: Priority, headroom: number): boolean {
+	private canTakeRequest(state: TargetState, priority: Priority, headroom: number): boolean {
 		if (state.leaving || state.ejectedUntil > this.context.now || state.isProbing) return false
-		const limit = this.share(state.record.concurrency)
+		const limit = this.limitPerBox(state.record.concurrency)
 		const usable = priority === 'urgent' ? limit : Math.max(1, Math.floor(limit * (1 - headroom)))
 		return state.inFlight < usable
 	}
 
 	/** This box's part of a limit that holds for the whole zone. */
-	private share(limit: number): number {
-		const boxes = Math.max(1, this.context.board.members.view.members.length)
+	private limitPerBox(limit: number): number {
+		const boxes = Math.max(1, this.context.blackboard.members.view.members.length)
 		return Math.max(1, Math.ceil(limit / boxes))
 	}
 
 	private noteFailure(state: TargetState): void {
 		const again = state.isProbing
 		state.isProbing = false
-		if (state.consecutiveFailures < EJECT_AFTER && !again) return
-		state.ejectedUntil = this.context.now + EJECT_MS
+		if (state.consecutiveFailures < EJECTION_FAILURES && !again) return
+		state.ejectedUntil = this.context.now + EJECTION_MS
 		this.context.log('target-ejected', {
 			target: state.record.name,
 			failures: state.consecutiveFailures,
 		})
 	}
 
-	private restore(state: TargetState): void {
+	private endEjection(state: TargetState): void {
 		if (state.ejectedUntil === 0) return
 		state.ejectedUntil = 0
 		state.isProbing = false
@@ -144,7 +144,7 @@
 		this.context.log('target-restored', { target: state.record.name })
 	}
 
-	private follow(records: readonly TargetRecord[]): void {
+	private applyRecords(records: readonly TargetRecord[]): void {
 		const { states } = this.section
 		const names = new Set(records.map((record) => record.name))
 		for (const name of states.keys()) if (!names.has(name)) states.delete(name)
@@ -153,18 +153,18 @@
 			if (known) known.record = record
 			else states.set(record.name, newTargetState(record, this.context.now))
 		}
-		for (const state of states.values()) this.markLeaving(state)
+		for (const state of states.values()) this.updateLeaving(state)
 	}
 
-	private markLeaving(state: TargetState): void {
+	private updateLeaving(state: TargetState): void {
 		const { name, leaving } = state.record
-		const now = leaving || this.listedLeaving.has(name) || this.selfLeaving.has(name)
+		const now = leaving || this.listedLeaving.has(name) || this.reportedLeaving.has(name)
 		if (now && !state.leaving) this.context.log('target-leaving', { target: name })
 		state.leaving = now
 	}
 }
 
-function doesServe(record: TargetRecord, work: Work): boolean {
+function servesWork(record: TargetRecord, work: Work): boolean {
 	const served = work.kind === 'model' ? work.model : work.service
 	const kind = work.kind === 'model' ? 'engine' : 'service'
 	return record.kind === kind && record.serves.includes(served)
--- a/packages/core/src/lib/identity/WitnessCopy.ts
+++ b/packages/core/src/lib/identity/BoxReplica.ts
@@ -1,10 +1,15 @@
 import type { BoxName, BudgetName, Incarnation, RequestId } from '../ids.js'
 import type { ReplicaReport } from '../money/ZoneLedger.js'
 import type { Amount, Millis } from '../units.js'
-import { laterRecord, type BillRow, type IdentityRecord, type LossMark } from './IdentityRecord.js'
+import {
+	laterRecord,
+	type BillRow,
+	type IdempotencyRecord,
+	type RecordLoss,
+} from './IdempotencyRecord.js'
 
 /** One budget's line in a batch; all amounts cumulative. @public */
-export interface MoneyRow {
+export interface SliceRow {
 	readonly budget: BudgetName
 	readonly billed: Amount
 	readonly watermark: Amount
@@ -14,29 +19,29 @@
 }
 
 /** A batch that an owner sends its witness. @public */
-export interface LogBatch {
+export interface ReplicationBatch {
 	readonly box: BoxName
 	readonly incarnation: Incarnation
 	/** View in which the sender has this witness. */
 	readonly view: number
 	/** 1 for the first batch of a view; each next one is one higher. */
 	readonly seq: number
-	readonly money: readonly MoneyRow[]
-	readonly records: readonly IdentityRecord[]
+	readonly money: readonly SliceRow[]
+	readonly records: readonly IdempotencyRecord[]
 	/** Bills of claims that earlier batches of this view brought. */
 	readonly bills: readonly BillRow[]
-	readonly losses: readonly LossMark[]
+	readonly losses: readonly RecordLoss[]
 }
 
 /** A witness's copy of what one box incarnation must not lose. @public */
-export class WitnessCopy {
-	readonly records = new Map<RequestId, IdentityRecord>()
-	readonly money = new Map<BudgetName, MoneyRow>()
-	readonly losses = new Map<string, LossMark>()
+export class BoxReplica {
+	readonly records = new Map<RequestId, IdempotencyRecord>()
+	readonly slices = new Map<BudgetName, SliceRow>()
+	readonly losses = new Map<string, RecordLoss>()
 	/** View of the last batch taken. */
-	view = 0
+	viewNumber = 0
 	/** Number of the last batch taken. */
-	seq = 0
+	lastSeq = 0
 
 	constructor(
 		readonly box: BoxName,
@@ -47,27 +52,27 @@
 	 * Takes a batch. Batches of a view come in order; a doubled one changes nothing.
 	 * Returns the highest number taken, to be acknowledged.
 	 */
-	take(batch: LogBatch): number {
+	apply(batch: ReplicationBatch): number {
 		// The first batch of a view is a full snapshot; without it the copy would have gaps.
-		const isSnapshot = batch.view > this.view && batch.seq === 1
+		const isSnapshot = batch.view > this.viewNumber && batch.seq === 1
 		if (isSnapshot) {
-			this.view = batch.view
-			this.seq = 0
+			this.viewNumber = batch.view
+			this.lastSeq = 0
 		}
-		if (batch.view !== this.view) return 0
-		if (batch.seq !== this.seq + 1) return this.seq
-		this.seq = batch.seq
-		for (const row of batch.money) this.money.set(row.budget, mergeRows(row, this.money))
-		for (const record of batch.records) this.note(record)
-		for (const bill of batch.bills) this.noteBill(bill)
+		if (batch.view !== this.viewNumber) return 0
+		if (batch.seq !== this.lastSeq + 1) return this.lastSeq
+		this.lastSeq = batch.seq
+		for (const row of batch.money) this.slices.set(row.budget, mergeSliceRows(row, this.slices))
+		for (const record of batch.records) this.mergeRecord(record)
+		for (const bill of batch.bills) this.mergeBill(bill)
 		for (const loss of batch.losses) this.losses.set(`${loss.view}/${loss.box}`, loss)
-		return this.seq
+		return this.lastSeq
 	}
 
 	/** What this witness can say of the money of the box once it is sealed. */
-	testimony(): Map<BudgetName, ReplicaReport> {
+	replicaReports(): Map<BudgetName, ReplicaReport> {
 		const rows = new Map<BudgetName, ReplicaReport>()
-		for (const [budget, row] of this.money) {
+		for (const [budget, row] of this.slices) {
 			rows.set(budget, row)
 		}
 		return rows
@@ -78,18 +83,18 @@
 		for (const [id, record] of this.records) if (record.at < before) this.records.delete(id)
 	}
 
-	private noteBill(bill: BillRow): void {
+	private mergeBill(bill: BillRow): void {
 		const known = this.records.get(bill.id)
-		if (known) this.note({ ...known, ...bill, state: 'billed' })
+		if (known) this.mergeRecord({ ...known, ...bill, state: 'billed' })
 	}
 
-	private note(record: IdentityRecord): void {
+	private mergeRecord(record: IdempotencyRecord): void {
 		const known = this.records.get(record.id)
 		this.records.set(record.id, known ? laterRecord(known, record) : record)
 	}
 }
 
-function mergeRows(row: MoneyRow, known: ReadonlyMap<BudgetName, MoneyRow>): MoneyRow {
+function mergeSliceRows(row: SliceRow, known: ReadonlyMap<BudgetName, SliceRow>): SliceRow {
 	const old = known.get(row.budget)
 	if (!old) return row
 	return {
--- a/packages/core/src/lib/identity/HandoffSender.ts
+++ b/packages/core/src/lib/identity/HandoffSender.ts
@@ -2,53 +2,53 @@
 import type { Member } from '../membership/ZoneView.js'
 import type { CoreContext } from '../router/CoreContext.js'
 import type { Millis } from '../units.js'
-import type { IdentityRecord, LossMark } from './IdentityRecord.js'
+import type { IdempotencyRecord, RecordLoss } from './IdempotencyRecord.js'
 
 /** Records on their way to the box that owns their keys now. */
 export interface Handoff {
 	readonly to: Member
 	readonly view: number
 	readonly source: BoxName
-	readonly records: readonly IdentityRecord[]
-	readonly losses: readonly LossMark[]
+	readonly records: readonly IdempotencyRecord[]
+	readonly losses: readonly RecordLoss[]
 }
 
 /** Sends handoffs until each is acknowledged. */
 export class HandoffSender {
-	private readonly open = new Map<string, { handoff: Handoff; sentAt: Millis }>()
+	private readonly unacknowledged = new Map<string, { handoff: Handoff; sentAt: Millis }>()
 
 	constructor(private readonly context: CoreContext) {}
 
 	/** Sends a handoff now, and again until it is acknowledged. */
 	add(handoff: Handoff): void {
 		const key = handoffKey(handoff.to.box, handoff.view, handoff.source)
-		this.open.set(key, { handoff, sentAt: this.context.now })
+		this.unacknowledged.set(key, { handoff, sentAt: this.context.now })
 		this.send(handoff)
 	}
 
 	onAck(from: BoxName, view: number, source: BoxName): void {
-		this.open.delete(handoffKey(from, view, source))
+		this.unacknowledged.delete(handoffKey(from, view, source))
 	}
 
 	/** Drops handoffs to boxes that are no members any more. */
-	keepOnly(members: readonly Member[], view: number): void {
-		for (const [key, { handoff }] of this.open) {
+	dropNonMembers(members: readonly Member[], view: number): void {
+		for (const [key, { handoff }] of this.unacknowledged) {
 			const stays = members.some((member) => member.incarnation === handoff.to.incarnation)
-			if (!stays && handoff.view < view) this.open.delete(key)
+			if (!stays && handoff.view < view) this.unacknowledged.delete(key)
 		}
 	}
 
 	resend(): void {
 		const { now, self } = this.context
-		for (const entry of this.open.values()) {
-			if (now - entry.sentAt < self.timing.resend) continue
+		for (const entry of this.unacknowledged.values()) {
+			if (now - entry.sentAt < self.timing.resendDelayMs) continue
 			entry.sentAt = now
 			this.send(entry.handoff)
 		}
 	}
 
 	isEmpty(): boolean {
-		return this.open.size === 0
+		return this.unacknowledged.size === 0
 	}
 
 	private send(handoff: Handoff): void {
--- a/packages/core/src/lib/identity/IdentityRecord.ts
+++ b/packages/core/src/lib/identity/IdempotencyRecord.ts
@@ -15,10 +15,10 @@
  * - `billed`: ran, and its bill is counted.
  * @public
  */
-export type IdentityState = 'claimed' | 'void' | 'billed'
+export type IdempotencyState = 'claimed' | 'void' | 'billed'
 
 /** What is remembered of one request id. @public */
-export interface IdentityRecord {
+export interface IdempotencyRecord {
 	readonly id: RequestId
 	/** Hash of method, path and body: the same key with another body is refused. */
 	readonly bodyHash: string
@@ -26,7 +26,7 @@
 	readonly repeatable: boolean
 	/** Counts the claims of this request; a new claim has the next number. */
 	readonly turn: number
-	readonly state: IdentityState
+	readonly state: IdempotencyState
 	/** The box that has the present turn. */
 	readonly box: BoxName
 	readonly incarnation: Incarnation
@@ -38,17 +38,18 @@
 	readonly at: Millis
 }
 
-const RANK: Readonly<Record<IdentityState, number>> = { claimed: 0, void: 1, billed: 2 }
+const STATE_ORDER: Readonly<Record<IdempotencyState, number>> = { claimed: 0, void: 1, billed: 2 }
 
 /** The later of two records of the same request: the higher turn, then the later state. @public */
-export function laterRecord(a: IdentityRecord, b: IdentityRecord): IdentityRecord {
+export function laterRecord(a: IdempotencyRecord, b: IdempotencyRecord): IdempotencyRecord {
 	if (a.turn !== b.turn) return a.turn > b.turn ? a : b
-	if (RANK[a.state] !== RANK[b.state]) return RANK[a.state] > RANK[b.state] ? a : b
+	if (STATE_ORDER[a.state] !== STATE_ORDER[b.state])
+		return STATE_ORDER[a.state] > STATE_ORDER[b.state] ? a : b
 	return b.at > a.at ? b : a
 }
 
 /** True where some turn of the request ran or may have run. @public */
-export function mayHaveRun(record: IdentityRecord | undefined): boolean {
+export function mayHaveRun(record: IdempotencyRecord | undefined): boolean {
 	return record !== undefined && (record.state !== 'void' || record.amount > 0)
 }
 
@@ -75,7 +76,7 @@
  * witness went together. A key from before may have run; a new owner must not run it again.
  * @public
  */
-export interface LossMark {
+export interface RecordLoss {
 	/** View in which the lost box owned its keys. */
 	readonly view: number
 	readonly box: BoxName
--- a/packages/core/src/lib/membership/ZoneView.ts
+++ b/packages/core/src/lib/membership/ZoneView.ts
@@ -42,7 +42,7 @@
 }
 
 /** Earlier views kept in the value. @public */
-export const PAST_VIEWS_KEPT = 8
+export const MAX_PAST_VIEWS = 8
 
 /** The view before any box has joined. @public */
 export const EMPTY_VIEW: ZoneView = { number: 0, members: [], past: [], retired: [] }
@@ -57,12 +57,12 @@
 	return {
 		number: view.number + 1,
 		members: sorted,
-		past: past.slice(0, PAST_VIEWS_KEPT),
-		retired: dropped.reduce(retire, view.retired),
+		past: past.slice(0, MAX_PAST_VIEWS),
+		retired: dropped.reduce(addRetired, view.retired),
 	}
 }
 
-function retire(retired: readonly RetiredBox[], member: Member): RetiredBox[] {
+function addRetired(retired: readonly RetiredBox[], member: Member): RetiredBox[] {
 	const { box, incarnation } = member
 	const others = retired.filter((entry) => entry.box !== box)
 	return [...others, { box, incarnation }]
@@ -89,19 +89,19 @@
 }
 
 /** Boxes that may own keys: those that are not leaving, or all where every one is. @public */
-export function owningBoxes(members: readonly Member[]): BoxName[] {
+export function eligibleOwners(members: readonly Member[]): BoxName[] {
 	const staying = members.filter((member) => !member.leaving)
 	return (staying.length > 0 ? staying : members).map((member) => member.box)
 }
 
 /** The box that owns a key among the members; undefined for an empty view. @public */
 export function ownerOf(members: readonly Member[], key: string): Member | undefined {
-	const box = rendezvousFirst(key, owningBoxes(members))
+	const box = rendezvousFirst(key, eligibleOwners(members))
 	return box === undefined ? undefined : findMember(members, box)
 }
 
 /** The witness of a box: the next member in name order; undefined where it is alone. @public */
-export function witnessOf(members: readonly Member[], box: BoxName): Member | undefined {
+export function replicaBoxOf(members: readonly Member[], box: BoxName): Member | undefined {
 	if (members.length < 2) return undefined
 	const at = members.findIndex((member) => member.box === box)
 	return at < 0 ? undefined : members[(at + 1) % members.length]
@@ -112,10 +112,14 @@
  * true where the view in which it was a member is no longer known.
  * @public
  */
-export function hadWitness(view: ZoneView, box: BoxName, incarnation: Incarnation): boolean {
+export function hasSurvivingReplica(
+	view: ZoneView,
+	box: BoxName,
+	incarnation: Incarnation,
+): boolean {
 	const last = view.past.find((past) => hasIncarnation(past.members, box, incarnation))
 	if (!last) return true
-	const witness = witnessOf(last.members, box)
+	const witness = replicaBoxOf(last.members, box)
 	const next = membersAt(view, last.number + 1)
 	if (!witness || !next) return witness !== undefined
 	return hasIncarnation(next, witness.box, witness.incarnation)
@@ -151,4 +155,4 @@
 }
 
 /** Platform key of the accepted configuration. @public */
-export const HEAD_KEY = 'bundles/head'
+export const BUNDLE_HEAD_KEY = 'bundles/head'
--- a/packages/core/src/lib/money/BudgetShardWriter.ts
+++ b/packages/core/src/lib/money/BudgetShardWriter.ts
@@ -114,7 +114,10 @@
 	}
 
 	tick(): void {
-		if (this.isCalling || this.context.now - this.committedAt < this.context.self.timing.commit)
+		if (
+			this.isCalling ||
+			this.context.now - this.committedAt < this.context.self.timing.commitPeriodMs
+		)
 			return
 		if (!this.hasWork() || this.canDefer()) return
 		this.committedAt = this.context.now
@@ -126,7 +129,7 @@
 		if (this.shortfalls.size + this.budgetsShortElsewhere.length > 0) return true
 		if (!this.ledger || !this.shard) return this.context.now - this.polledAt >= REPORT_PERIOD_MS
 		if (this.isPollDue() || this.isBundleNew()) return true
-		if (this.context.board.members.view.number !== this.appliedView) return true
+		if (this.context.blackboard.members.view.number !== this.appliedView) return true
 		return this.hasUnreportedCounters && this.context.now - this.reportedAt >= REPORT_PERIOD_MS
 	}
 
@@ -144,12 +147,12 @@
 	}
 
 	private isBundleNew(): boolean {
-		return (this.context.board.config.index?.bundle.version ?? 0) > this.appliedBundleVersion
+		return (this.context.blackboard.config.index?.bundle.version ?? 0) > this.appliedBundleVersion
 	}
 
 	/** True if a leader with a newer view has written the ledger. This box must not write before it has that view. */
 	private isOutdated(): boolean {
-		return (this.ledger?.value.view ?? 0) > this.context.board.members.view.number
+		return (this.ledger?.value.view ?? 0) > this.context.blackboard.members.view.number
 	}
 
 	/** True if a request, an ended incarnation, a stopping box or another zone waits for the next write. */
@@ -162,7 +165,7 @@
 	}
 
 	private isLeaving(request: GrantRequest): boolean {
-		const { members } = this.context.board.members.view
+		const { members } = this.context.blackboard.members.view
 		return members.some((member) => member.box === request.box && member.leaving)
 	}
 
@@ -251,7 +254,7 @@
 
 	/** Writes the prepaid amounts of a new bundle to the shard. */
 	private writePrepaid(): void {
-		const index = this.context.board.config.index
+		const index = this.context.blackboard.config.index
 		if (!this.shard || !index) return
 		const { version, budgets } = index.bundle
 		const value = structuredClone(this.shard.value)
@@ -285,7 +288,7 @@
 		const replicaReports = [...this.replicaReports.entries()]
 		const finalCounters = [...this.finalCounters.entries()]
 		const urgent = this.isUrgent()
-		const view = this.context.board.members.view.number
+		const view = this.context.blackboard.members.view.number
 		this.updates.applyAllotments(draft, this.shard.value)
 		this.updates.applyReplicaReports(
 			draft,
@@ -302,7 +305,7 @@
 			for (const [key, row] of finalCounters) this.removeFinalCounters(key, row)
 			requests.forEach((request, i) => this.answer(request, rows[i]))
 		}
-		const value = draft.build(this.context.board.members.view.number)
+		const value = draft.build(this.context.blackboard.members.view.number)
 		if (!value) {
 			done()
 			return false
@@ -358,7 +361,7 @@
 		const draft = new ShardDraft(this.shard.value, this.context.self.zone)
 		for (const [name, row] of Object.entries(this.ledger.value.budgets))
 			draft.updateCounters(name as BudgetName, row, this.shortfalls.has(name as BudgetName))
-		const zones = this.context.board.config.index?.zones.length ?? 1
+		const zones = this.context.blackboard.config.index?.zones.length ?? 1
 		const coveredShortfalls = [...this.shortfalls].filter(([name, shortfall]) =>
 			draft.allot(name, shortfall, zones),
 		)
@@ -403,7 +406,7 @@
 	/** Recalls idle tokens from the boxes of the zone. After a timeout, reports the budget as exhausted. */
 	private handleShortfalls(): void {
 		const timeoutMs =
-			this.context.self.timing.recallWait + RECALL_WAIT_POLLS * this.hooks.pollPeriodMs()
+			this.context.self.timing.recallTimeoutMs + RECALL_WAIT_POLLS * this.hooks.pollPeriodMs()
 		for (const [budget, shortfall] of this.shortfalls) {
 			const row = this.ledger?.value.budgets[budget]
 			const age = this.context.now - shortfall.since
--- a/packages/core/src/lib/money/LedgerUpdates.ts
+++ b/packages/core/src/lib/money/LedgerUpdates.ts
@@ -1,5 +1,5 @@
 import type { BoxName, BudgetName, Incarnation } from '../ids.js'
-import { hadWitness } from '../membership/ZoneView.js'
+import { hasSurvivingReplica } from '../membership/ZoneView.js'
 import type { CoreContext } from '../router/CoreContext.js'
 import type { GrantRow } from '../router/PeerMessage.js'
 import type { Amount } from '../units.js'
@@ -101,7 +101,7 @@
 
 	/** Marks the slices of incarnations that are no longer members as in doubt. */
 	markLostInDoubt(draft: LedgerDraft): void {
-		const { members } = this.context.board.members.view
+		const { members } = this.context.blackboard.members.view
 		const memberKeys = new Set(members.map((entry) => entryKey(entry.box, entry.incarnation)))
 		for (const name of draft.budgetNames()) {
 			for (const key of Object.keys(draft.peek(name)?.entries ?? {})) {
@@ -132,13 +132,14 @@
 		markEntryInDoubt(budget, key)
 		const entry = budget.entries[key]
 		const { box, incarnation } = parseEntryKey(key)
-		const { view } = this.context.board.members
-		if (entry && !entry.sealed && !hadWitness(view, box, incarnation)) entry.unwitnessed = true
+		const { view } = this.context.blackboard.members
+		if (entry && !entry.sealed && !hasSurvivingReplica(view, box, incarnation))
+			entry.unwitnessed = true
 	}
 
 	/** The whole amount that waiting requests need, and the rest up to a fair share. */
 	private fairAmount(ask: GrantRequest, row: LedgerBudget): Amount {
-		const boxes = Math.max(1, this.context.board.members.view.members.length)
+		const boxes = Math.max(1, this.context.blackboard.members.view.members.length)
 		const unspent = row.allotted - row.returned - billedInZone(row)
 		const entry = row.entries[entryKey(ask.box, ask.incarnation)]
 		const balance = entry ? entry.granted - entry.returned - entry.billed : 0
@@ -146,7 +147,7 @@
 	}
 
 	private isMember(request: GrantRequest): boolean {
-		const { members } = this.context.board.members.view
+		const { members } = this.context.blackboard.members.view
 		const own = { box: this.context.self.box, incarnation: this.context.self.incarnation }
 		return [...members, own].some((member) => {
 			return member.box === request.box && member.incarnation === request.incarnation
--- a/packages/core/src/lib/placement/ExpiredTargets.test.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.test.ts
@@ -32,7 +32,7 @@
 		expect(names(targets.update([target('a')], 9_000))).toEqual(['a', 'b'])
 		targets.noteContact(true, 9_000)
 		expect(names(targets.refresh(10_000))).toEqual(['a', 'b'])
-		expect(names(targets.lapsed)).toEqual(['b'])
+		expect(names(targets.expired)).toEqual(['b'])
 		expect(names(targets.refresh(11_000))).toEqual(['a'])
 	})
 
@@ -43,7 +43,7 @@
 		targets.update([target('a')], 9_000)
 		targets.noteContact(true, 9_000)
 		expect(targets.update([target('a'), target('b', true)], 9_500)).toHaveLength(2)
-		expect(targets.lapsed).toEqual([])
+		expect(targets.expired).toEqual([])
 		expect(names(targets.update([target('a')], 9_600))).toEqual(['a'])
 	})
 
--- a/packages/core/src/lib/placement/ExpiredTargets.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.ts
@@ -62,11 +62,11 @@
 		)
 		this.listed = listed
 		this.unusable = unusable
-		return [...listed, ...this.lapsed]
+		return [...listed, ...this.expired]
 	}
 
 	/** Targets that are in use although they are not listed. */
-	get lapsed(): readonly TargetEntry[] {
+	get expired(): readonly TargetEntry[] {
 		return this.retained.map((target) => target.entry)
 	}
 
--- a/packages/core/src/lib/placement/TargetRegistry.test.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.test.ts
@@ -92,7 +92,11 @@
 		const work = prompt('session', 'own')
 		const affinityTarget = registry.choose(query({ work }), 0)
 		const reportedWork = [
-			{ life: incarnationOf(affinityTarget!.target), unreadTokens: 90_000, open: 10 },
+			{
+				incarnation: incarnationOf(affinityTarget!.target),
+				prefillTokens: 90_000,
+				openRequests: 10,
+			},
 		]
 		registry.notePeerWork(brandId<BoxName>('other'), reportedWork, 0)
 		expect(registry.choose(query({ work }), 1)?.target.name).not.toBe(affinityTarget?.target.name)
@@ -119,7 +123,9 @@
 		const registry = registryOf(entry('a'), entry('bb'))
 		const hasIdleConnection = (target: TargetName): boolean => target === 'bb'
 		expect(registry.choose(query({ hasIdleConnection }), 0)?.target.name).toBe('bb')
-		const reportedWork = [{ life: brandId<TargetIncarnation>('bb'), unreadTokens: 0, open: 8 }]
+		const reportedWork = [
+			{ incarnation: brandId<TargetIncarnation>('bb'), prefillTokens: 0, openRequests: 8 },
+		]
 		registry.notePeerWork(brandId<BoxName>('other'), reportedWork, 0)
 		expect(registry.choose(query({ hasIdleConnection }), 1)?.target.name).toBe('a')
 	})
@@ -151,7 +157,11 @@
 		const registry = new TargetRegistry()
 		registry.replace([entry('a')], 0)
 		const row = (open: number) => [
-			{ life: brandId<TargetIncarnation>('a'), unreadTokens: 100 * open, open },
+			{
+				incarnation: brandId<TargetIncarnation>('a'),
+				prefillTokens: 100 * open,
+				openRequests: open,
+			},
 		]
 		registry.notePeerWork(brandId<BoxName>('box-1'), row(1), 0)
 		registry.notePeerWork(brandId<BoxName>('box-2'), row(2), 0)
@@ -250,7 +260,7 @@
 			registry.beginAttempt(before, work, 0)
 			registry.beginAttempt(before, undefined, 0).end('unreachable', 0)
 			registry.beginAttempt(before, undefined, 0).noteLoad({ running: 8, waiting: 90, slots: 8 }, 0)
-			const rows = [{ life: incarnationOf(first), unreadTokens: 90_000, open: 30 }]
+			const rows = [{ incarnation: incarnationOf(first), prefillTokens: 90_000, openRequests: 30 }]
 			registry.notePeerWork(BOX, rows, 0)
 			registry.replace([{ ...first, leaving: true, revision: { era: 1, number: 6 } }], 1)
 			registry.replace([second], 2)
--- a/packages/core/src/lib/placement/TargetRegistry.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.ts
@@ -152,29 +152,30 @@
 	openWork(includes: (box: BoxName) => boolean, now: Millis): TargetWork[] {
 		const rows: TargetWork[] = []
 		for (const state of this.targets.values()) {
-			let unreadTokens = 0
-			let open = state.openAttempts.size
+			let prefillTokens = 0
+			let openRequests = state.openAttempts.size
 			for (const attempt of state.openAttempts)
-				if (!attempt.hasFirstByte) unreadTokens += attempt.prefillTokens
+				if (!attempt.hasFirstByte) prefillTokens += attempt.prefillTokens
 			for (const [box, work] of state.peerWork) {
 				if (!includes(box) || !isPeerWorkFresh(work, now)) continue
-				unreadTokens += work.prefillTokens
-				open += work.openRequests
+				prefillTokens += work.prefillTokens
+				openRequests += work.openRequests
 			}
-			if (open > 0) rows.push({ life: incarnationOf(state.entry), unreadTokens, open })
+			if (openRequests > 0)
+				rows.push({ incarnation: incarnationOf(state.entry), prefillTokens, openRequests })
 		}
 		return rows
 	}
 
 	/** Records the complete work report of another box: targets missing from it have no work of that box. */
 	notePeerWork(box: BoxName, rows: readonly TargetWork[], now: Millis): void {
-		const rowsByIncarnation = new Map(rows.map((row) => [row.life, row]))
+		const rowsByIncarnation = new Map(rows.map((row) => [row.incarnation, row]))
 		for (const state of this.targets.values()) {
 			const row = rowsByIncarnation.get(incarnationOf(state.entry))
 			if (row)
 				state.peerWork.set(box, {
-					prefillTokens: row.unreadTokens,
-					openRequests: row.open,
+					prefillTokens: row.prefillTokens,
+					openRequests: row.openRequests,
 					receivedAt: now,
 				})
 			else state.peerWork.delete(box)
--- a/packages/core/src/lib/placement/TargetWork.ts
+++ b/packages/core/src/lib/placement/TargetWork.ts
@@ -2,9 +2,9 @@
 
 /** Work in flight at one target. @public */
 export interface TargetWork {
-	readonly life: TargetIncarnation
+	readonly incarnation: TargetIncarnation
 	/** Prompt tokens of requests that have no response yet. */
-	readonly unreadTokens: number
+	readonly prefillTokens: number
 	/** Requests in flight. */
-	readonly open: number
+	readonly openRequests: number
 }
--- a/packages/core/src/lib/quarantine/CrashRecord.ts
+++ b/packages/core/src/lib/quarantine/CrashRecord.ts
@@ -4,8 +4,8 @@
 
 /** A run of a request during which its target crashed. Times are from one monotonic clock. @public */
 export interface CrashedRun {
-	readonly life: TargetIncarnation
-	readonly beganAt: Millis
+	readonly incarnation: TargetIncarnation
+	readonly startedAt: Millis
 	readonly endedAt: Millis
 }
 
@@ -36,8 +36,8 @@
 	if (a.generation !== b.generation) return a.generation > b.generation ? a : b
 	const runs = new Map<TargetIncarnation, CrashedRun>()
 	for (const run of [...a.runs, ...b.runs]) {
-		const existing = runs.get(run.life)
-		runs.set(run.life, existing ? mergeRuns(existing, run) : run)
+		const existing = runs.get(run.incarnation)
+		runs.set(run.incarnation, existing ? mergeRuns(existing, run) : run)
 	}
 	return {
 		...a,
@@ -51,14 +51,14 @@
 /** Merges two runs on the same incarnation of a target into their intersection. */
 function mergeRuns(a: CrashedRun, b: CrashedRun): CrashedRun {
 	return {
-		life: a.life,
-		beganAt: Math.max(a.beganAt, b.beganAt),
+		incarnation: a.incarnation,
+		startedAt: Math.max(a.startedAt, b.startedAt),
 		endedAt: Math.min(a.endedAt, b.endedAt),
 	}
 }
 
 function byEnd(a: CrashedRun, b: CrashedRun): number {
-	return a.endedAt - b.endedAt || (a.life < b.life ? -1 : 1)
+	return a.endedAt - b.endedAt || (a.incarnation < b.incarnation ? -1 : 1)
 }
 
 /**
@@ -69,7 +69,7 @@
 	const consecutive: CrashedRun[] = []
 	for (const run of runs) {
 		const previous = consecutive.at(-1)
-		if (!previous || run.beganAt >= previous.endedAt) consecutive.push(run)
+		if (!previous || run.startedAt >= previous.endedAt) consecutive.push(run)
 	}
 	return consecutive
 }
--- a/packages/core/src/lib/quarantine/RequestQuarantine.test.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.test.ts
@@ -21,9 +21,9 @@
 	request: RequestIdentity,
 	life: string,
 	endedAt: number,
-	beganAt = endedAt - 50,
+	startedAt = endedAt - 50,
 ): CrashRecord {
-	const run = { life: brandId<TargetIncarnation>(life), beganAt, endedAt }
+	const run = { incarnation: brandId<TargetIncarnation>(life), startedAt, endedAt }
 	return quarantine.recordCrash(request, run, endedAt)
 }
 
--- a/packages/core/src/lib/quarantine/RequestQuarantine.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.ts
@@ -169,9 +169,9 @@
 		if (!record.isQuarantined || record.hadSecondChance) return false
 		const others = this.quarantined.filter((other) => other.fingerprint !== record.fingerprint)
 		const explainedIncarnations = new Set(
-			others.flatMap((other) => other.runs.map((run) => run.life)),
+			others.flatMap((other) => other.runs.map((run) => run.incarnation)),
 		)
-		return record.runs.every((run) => explainedIncarnations.has(run.life))
+		return record.runs.every((run) => explainedIncarnations.has(run.incarnation))
 	}
 
 	private evictLeastInformative(): void {
--- a/packages/core/src/lib/quarantine/crashModel.ts
+++ b/packages/core/src/lib/quarantine/crashModel.ts
@@ -142,7 +142,11 @@
 		this.runs = this.runs.filter((run) => !targets.includes(run.target))
 		for (const { beganAt, request, target } of lost) {
 			const life = brandId<TargetIncarnation>(`t-${target}@${this.lives[target]}`)
-			this.quarantine.recordCrash(request, { life, beganAt, endedAt: this.now }, this.now)
+			this.quarantine.recordCrash(
+				request,
+				{ incarnation: life, startedAt: beganAt, endedAt: this.now },
+				this.now,
+			)
 		}
 		for (const target of new Set(targets)) {
 			this.crashes++
--- a/packages/core/src/lib/requests/Run.ts
+++ b/packages/core/src/lib/requests/Run.ts
@@ -24,45 +24,45 @@
 	readonly priority: Priority
 	readonly repeatable: boolean
 	/** True where this box made the key: nobody else has seen it before the answer begins. */
-	readonly minted: boolean
+	readonly hasMintedKey: boolean
 	readonly deadline: Millis
 	readonly startedAt: Millis
 	/** Worst-case charge. */
-	readonly worst: Amount
+	readonly maxCharge: Amount
 	readonly maxOutputTokens: number
 	stage: RunStage
 	/** The call whose body is sent; the shell holds it until the run ends. */
-	readonly firstCall: CallId
+	readonly firstCallId: CallId
 	/** Callers that wait for the answer, with what each sent. */
-	readonly calls: Map<CallId, CallerRequest>
+	readonly callers: Map<CallId, CallerRequest>
 	/** True once the shell keeps an answer for the run. */
-	attached: boolean
-	reserved: boolean
+	isAttached: boolean
+	isReserved: boolean
 	/** Log ticket that must be acknowledged before the next step; 0 for none. */
-	ticket: number
+	logPosition: number
 	/** True while the reservation counts as drawn towards the watermark. */
-	committed: boolean
+	isCommitted: boolean
 	attempt: number
 	/** Target that the claim names; a slot there is held from then on. */
 	target: TargetName | undefined
 	/** Set where an earlier run is resumed instead of running again. */
-	resumeAt: TargetName | undefined
+	resumeTarget: TargetName | undefined
 	/** Number of this claim of the request. */
 	readonly turn: number
 	/** What earlier runs of this request were billed; only the difference is billed now. */
-	readonly priorBilled: Amount
+	readonly previouslyBilled: Amount
 	/** True while an attempt is out, or has ended in a way that does not say whether it ran. */
 	mayHaveRun: boolean
 	/** The same of the attempts before the one that is out, and of other boxes' tries. */
-	mayHaveRunBefore: boolean
+	mayHaveRunEarlier: boolean
 	charge: Amount
 	endedAt: Millis
 	waitingFor: WaitReason | undefined
 	/** Time since which it waits for the present reason. */
 	waitingSince: Millis
 	/** Targets that this run has tried. */
-	readonly tried: Set<TargetName>
-	cancelling: boolean
+	readonly triedTargets: Set<TargetName>
+	isCancelling: boolean
 }
 
 /** What a run waits for. @public */
--- a/packages/core/src/lib/requests/RunQueue.ts
+++ b/packages/core/src/lib/requests/RunQueue.ts
@@ -29,7 +29,7 @@
 	}
 
 	/** Puts back a run that is to be tried again; it was counted when it came. */
-	again(run: Run): void {
+	requeue(run: Run): void {
 		this.waiting.set(run.id, run)
 	}
 
@@ -47,7 +47,7 @@
 	}
 
 	/** Waiting runs in the order in which they may go on. */
-	ordered(running: ReadonlyMap<AccountName, number>): Run[] {
+	inOrder(running: ReadonlyMap<AccountName, number>): Run[] {
 		const runs = [...this.waiting.values()]
 		return runs.sort((a, b) => {
 			if (a.priority !== b.priority) return a.priority === 'urgent' ? -1 : 1
--- a/packages/core/src/lib/requests/readRequest.ts
+++ b/packages/core/src/lib/requests/priceRequest.ts
@@ -12,12 +12,12 @@
 	readonly account: AccountRecord
 	readonly budget: BudgetName
 	/** Worst-case charge. */
-	readonly worst: Amount
+	readonly maxCharge: Amount
 	readonly maxOutputTokens: number
 }
 
 /** Looks a request up in the bundle. A refusal here means that nothing has run. */
-export function readRequest(
+export function priceRequest(
 	index: BundleIndex,
 	request: CallerRequest,
 ): E.Either<Refusal, PricedRequest> {
@@ -46,13 +46,13 @@
 	if (work.kind === 'service') {
 		const service = index.service(work.service)
 		if (!service) return E.left(notRun('unknown-service', `no service ${work.service}`))
-		return E.right({ account, budget, worst: service.callCost, maxOutputTokens: 0 })
+		return E.right({ account, budget, maxCharge: service.callCost, maxOutputTokens: 0 })
 	}
 	const model = index.model(work.model)
 	if (!model) return E.left(notRun('unknown-model', `no model ${work.model}`))
 	const maxOutputTokens = Math.min(work.maxOutputTokens ?? Infinity, model.maxOutputTokens)
 	const worst = work.inputTokens * model.inputWeight + maxOutputTokens * model.outputWeight
-	return E.right({ account, budget, worst: Math.ceil(worst), maxOutputTokens })
+	return E.right({ account, budget, maxCharge: Math.ceil(worst), maxOutputTokens })
 }
 
 /** The charge of what ran, never above the worst case. */
--- a/packages/core/src/lib/router/Blackboard.ts
+++ b/packages/core/src/lib/router/Blackboard.ts
@@ -1,48 +1,48 @@
 import type { BundleIndex } from '../bundle/BundleIndex.js'
 import type { BoxName, BudgetName, RequestId, TargetName, ZoneName } from '../ids.js'
-import type { IdentityRecord } from '../identity/IdentityRecord.js'
+import type { IdempotencyRecord } from '../identity/IdempotencyRecord.js'
 import { EMPTY_VIEW, type Member, type ZoneView } from '../membership/ZoneView.js'
 import { SliceLedger } from '../money/SliceLedger.js'
 import type { TargetState } from '../routing/TargetState.js'
 import type { Amount, Millis } from '../units.js'
 import type { Run } from '../requests/Run.js'
 import type { BoxConfig } from './BoxConfig.js'
-import type { ZoneAddresses } from './PeerMessage.js'
+import type { ZoneMembers } from './PeerMessage.js'
 
 /** Configuration in force. Written by `ConfigController`. @public */
 export interface ConfigSection {
 	index: BundleIndex | undefined
 	/** Highest version that any peer or the platform has named. */
-	offered: number
+	highestKnownVersion: number
 }
 
 /** The zone and its boxes. Written by `MembershipController`. @public */
 export interface MembersSection {
 	view: ZoneView
-	keeper: Member | undefined
+	leader: Member | undefined
 	term: number
-	zones: Map<ZoneName, ZoneAddresses>
-	platformUp: boolean
+	zones: Map<ZoneName, ZoneMembers>
+	isPlatformUp: boolean
 	/** True from the start of a planned stop. */
-	stopping: boolean
+	isStopping: boolean
 	/** Time of the last sign of life of the keeper. */
-	keeperSeenAt: Millis
+	leaderSeenAt: Millis
 }
 
 /** This box's money. Written by `MoneyController`. @public */
-export interface MoneySection {
+export interface SliceSection {
 	readonly ledger: SliceLedger
 	/** Smoothed demand in budget tokens per second. */
-	readonly demand: Map<BudgetName, Amount>
+	readonly demandPerSecond: Map<BudgetName, Amount>
 	/** Budgets that the keeper called dry, and until when that word counts. */
-	readonly dryUntil: Map<BudgetName, Millis>
+	readonly zoneExhaustedUntil: Map<BudgetName, Millis>
 }
 
 /** Who ran what. Written by `IdentityController`. @public */
-export interface IdentitySection {
-	readonly records: Map<RequestId, IdentityRecord>
+export interface IdempotencySection {
+	readonly records: Map<RequestId, IdempotencyRecord>
 	/** True once all records of the keys of this box have arrived. */
-	settled: boolean
+	hasAllRecords: boolean
 }
 
 /** Targets and their load. Written by `TargetController`. @public */
@@ -57,10 +57,10 @@
 
 /** Roles that this box holds. Written by `MembershipController`. @public */
 export interface RolesSection {
-	keeper: boolean
+	isLeader: boolean
 }
 
-type Reader<T> = {
+type ReadonlySection<T> = {
 	readonly [K in keyof T]: T[K] extends Map<infer A, infer B> ? ReadonlyMap<A, B> : T[K]
 }
 
@@ -70,50 +70,54 @@
  * @public
  */
 export interface BlackboardView {
-	readonly config: Reader<ConfigSection>
-	readonly members: Reader<MembersSection>
-	readonly money: Reader<MoneySection>
-	readonly identity: Reader<IdentitySection>
-	readonly targets: Reader<TargetsSection>
-	readonly requests: Reader<RequestsSection>
-	readonly roles: Reader<RolesSection>
+	readonly config: ReadonlySection<ConfigSection>
+	readonly members: ReadonlySection<MembersSection>
+	readonly slices: ReadonlySection<SliceSection>
+	readonly idempotency: ReadonlySection<IdempotencySection>
+	readonly targets: ReadonlySection<TargetsSection>
+	readonly requests: ReadonlySection<RequestsSection>
+	readonly roles: ReadonlySection<RolesSection>
 }
 
 /** The writable blackboard. Only the assembly of a core hands sections out. @public */
 export interface Blackboard {
 	readonly config: ConfigSection
 	readonly members: MembersSection
-	readonly money: MoneySection
-	readonly identity: IdentitySection
+	readonly slices: SliceSection
+	readonly idempotency: IdempotencySection
 	readonly targets: TargetsSection
 	readonly requests: RequestsSection
 	readonly roles: RolesSection
 }
 
 /** A blackboard of a box that knows nothing yet. @public */
-export function emptyBlackboard(): Blackboard {
+export function createBlackboard(): Blackboard {
 	return {
-		config: { index: undefined, offered: 0 },
+		config: { index: undefined, highestKnownVersion: 0 },
 		members: {
 			view: EMPTY_VIEW,
-			keeper: undefined,
+			leader: undefined,
 			term: 0,
 			zones: new Map(),
-			platformUp: true,
-			stopping: false,
-			keeperSeenAt: 0,
+			isPlatformUp: true,
+			isStopping: false,
+			leaderSeenAt: 0,
 		},
-		money: { ledger: new SliceLedger(), demand: new Map(), dryUntil: new Map() },
-		identity: { records: new Map(), settled: false },
+		slices: {
+			ledger: new SliceLedger(),
+			demandPerSecond: new Map(),
+			zoneExhaustedUntil: new Map(),
+		},
+		idempotency: { records: new Map(), hasAllRecords: false },
 		targets: { states: new Map() },
 		requests: { runs: new Map() },
-		roles: { keeper: false },
+		roles: { isLeader: false },
 	}
 }
 
 /** True where this box is a member and holds the records of all its keys. @public */
-export function isSettled(board: BlackboardView, self: BoxConfig): boolean {
-	return board.identity.settled && isMember(board, self.box, self.incarnation)
+export function isServingMember(board: BlackboardView, self: BoxConfig): boolean {
+	return board.idempotency.hasAllRecords && isMember(board, self.box, self.incarnation)
 }
 
 /** Says whether this box is a member of its zone's view. @public */
--- a/packages/core/src/lib/router/BoxConfig.ts
+++ b/packages/core/src/lib/router/BoxConfig.ts
@@ -13,42 +13,42 @@
 
 /** Periods and limits, all in milliseconds. @public */
 export interface Timing {
-	readonly heartbeat: Millis
+	readonly heartbeatPeriodMs: Millis
 	/** A box that was silent for so long is dropped from the view. */
-	readonly memberSilent: Millis
+	readonly memberTimeoutMs: Millis
 	/** A keeper that was silent for so long is looked up on the platform. */
-	readonly keeperSilent: Millis
-	readonly keeperLease: Millis
+	readonly leaderTimeoutMs: Millis
+	readonly leaderLeaseMs: Millis
 	/** Resend of a batch, handoff or testimony that was not acknowledged. */
-	readonly resend: Millis
+	readonly resendDelayMs: Millis
 	/** Period of the keeper's group commits of one shard. */
-	readonly commit: Millis
+	readonly commitPeriodMs: Millis
 	/** How long a request may wait for money before it is refused. */
-	readonly moneyWait: Millis
+	readonly maxBudgetWaitMs: Millis
 	/** How long a request may wait for the witness or a settled view. */
-	readonly securityWait: Millis
+	readonly maxReplicationWaitMs: Millis
 	/** How long the keeper waits for recalled money before it calls a budget dry. */
-	readonly recallWait: Millis
+	readonly recallTimeoutMs: Millis
 	/** How often counters without an ask go to the keeper. */
-	readonly counters: Millis
+	readonly countersPeriodMs: Millis
 	/** How often the keeper reads the views of other zones. */
-	readonly zoneViews: Millis
+	readonly zoneViewsPeriodMs: Millis
 	/** Timeout of one watch call. */
-	readonly watch: Millis
+	readonly watchTimeoutMs: Millis
 }
 
 /** Default timing; `docs/CAPACITY.md` says what each costs at full size. @public */
 export const DEFAULT_TIMING: Timing = {
-	heartbeat: 500,
-	memberSilent: 2_000,
-	keeperSilent: 1_500,
-	keeperLease: 5_000,
-	resend: 300,
-	commit: 50,
-	moneyWait: 4_000,
-	securityWait: 5_000,
-	recallWait: 1_500,
-	counters: 5_000,
-	zoneViews: 5_000,
-	watch: 10_000,
+	heartbeatPeriodMs: 500,
+	memberTimeoutMs: 2_000,
+	leaderTimeoutMs: 1_500,
+	leaderLeaseMs: 5_000,
+	resendDelayMs: 300,
+	commitPeriodMs: 50,
+	maxBudgetWaitMs: 4_000,
+	maxReplicationWaitMs: 5_000,
+	recallTimeoutMs: 1_500,
+	countersPeriodMs: 5_000,
+	zoneViewsPeriodMs: 5_000,
+	watchTimeoutMs: 10_000,
 }
--- a/packages/core/src/lib/router/CoreAction.ts
+++ b/packages/core/src/lib/router/CoreAction.ts
@@ -2,7 +2,7 @@
 import type { OpId, PlatformOp } from '../platform/PlatformOp.js'
 import type { Refusal } from '../Refusal.js'
 import type { LogEvent } from './LogEvent.js'
-import type { Confession, PeerMessage } from './PeerMessage.js'
+import type { FinalCountersMessage, PeerMessage } from './PeerMessage.js'
 
 /** Everything that a router core may ask of its shell. @public */
 export type CoreAction =
@@ -58,7 +58,7 @@
 	/** This incarnation was fenced off: start again as a new one, which passes its last word on. */
 	| {
 			readonly kind: 'restart'
-			readonly confession: Confession
+			readonly finalCounters: FinalCountersMessage
 			/** The new incarnation must sort after this one. */
 			readonly after: Incarnation
 	  }
--- a/packages/core/src/lib/router/CoreContext.ts
+++ b/packages/core/src/lib/router/CoreContext.ts
@@ -19,12 +19,12 @@
 	/** Time of the event in hand. */
 	now: Millis = 0
 	private actions: CoreAction[] = []
-	private nextOp: OpId = 1
-	private readonly waiting = new Map<OpId, (result: PlatformResult) => void>()
+	private nextOpId: OpId = 1
+	private readonly platformHandlers = new Map<OpId, (result: PlatformResult) => void>()
 
 	constructor(
 		readonly self: BoxConfig,
-		readonly board: BlackboardView,
+		readonly blackboard: BlackboardView,
 		readonly random: RandomSource,
 	) {}
 
@@ -45,21 +45,21 @@
 
 	/** Calls the platform; the handler runs when the reply event comes. */
 	callPlatform(op: PlatformOp, onResult: (result: PlatformResult) => void): void {
-		const opId = this.nextOp++
-		this.waiting.set(opId, onResult)
+		const opId = this.nextOpId++
+		this.platformHandlers.set(opId, onResult)
 		this.emit({ kind: 'platform', opId, op })
 	}
 
 	/** Hands a platform reply to whoever waits for it. */
-	completePlatform(opId: OpId, result: PlatformResult): void {
-		const handler = this.waiting.get(opId)
+	handlePlatformResult(opId: OpId, result: PlatformResult): void {
+		const handler = this.platformHandlers.get(opId)
 		if (!handler) return
-		this.waiting.delete(opId)
+		this.platformHandlers.delete(opId)
 		handler(result)
 	}
 
 	/** Takes the actions gathered since the last call. */
-	drain(): CoreAction[] {
+	takeActions(): CoreAction[] {
 		const gathered = this.actions
 		this.actions = []
 		return gathered
--- a/packages/core/src/lib/router/CoreEvent.ts
+++ b/packages/core/src/lib/router/CoreEvent.ts
@@ -22,7 +22,7 @@
 	/** Time by which the first byte must come. */
 	readonly deadline: Millis
 	/** Set by the core where it made the key itself. */
-	readonly minted?: boolean
+	readonly hasMintedKey?: boolean
 	/** Boxes that have passed this call on; bounds relaying. */
 	readonly hops: number
 }
--- a/packages/core/src/lib/router/PeerMessage.ts
+++ b/packages/core/src/lib/router/PeerMessage.ts
@@ -1,6 +1,6 @@
 import type { BoxName, BudgetName, Incarnation, TargetName, ZoneName } from '../ids.js'
-import type { IdentityRecord, LossMark } from '../identity/IdentityRecord.js'
-import type { LogBatch } from '../identity/WitnessCopy.js'
+import type { IdempotencyRecord, RecordLoss } from '../identity/IdempotencyRecord.js'
+import type { ReplicationBatch } from '../identity/BoxReplica.js'
 import type { Member, ZoneView } from '../membership/ZoneView.js'
 import type { SliceCounters } from '../money/SliceLedger.js'
 import type { ReplicaReport } from '../money/ZoneLedger.js'
@@ -8,7 +8,7 @@
 import type { LoadReport } from './LoadReport.js'
 
 /** One budget's line in an ask to the keeper. @public */
-export interface AskRow {
+export interface GrantRequestRow {
 	readonly budget: BudgetName
 	/** Money wanted beyond what was granted so far, to cover the horizon. */
 	readonly want: Amount
@@ -36,7 +36,7 @@
 }
 
 /** Members of another zone, as the keeper last read them. @public */
-export interface ZoneAddresses {
+export interface ZoneMembers {
 	readonly zone: ZoneName
 	readonly view: number
 	readonly members: readonly Member[]
@@ -66,14 +66,14 @@
 			readonly platformUp: boolean
 			readonly bundleVersion: number
 			/** Other zones; only those that changed since the last digest to the receiver. */
-			readonly zones: readonly ZoneAddresses[]
+			readonly zones: readonly ZoneMembers[]
 			/** Load reports that came in since the last digest. */
 			readonly reports: readonly LoadReport[]
 			/** Targets that the platform's list calls leaving. */
 			readonly leavingTargets: readonly TargetName[]
 	  }
 	/** Owner to witness. */
-	| { readonly kind: 'log'; readonly batch: LogBatch }
+	| { readonly kind: 'log'; readonly batch: ReplicationBatch }
 	/** Witness to owner. */
 	| {
 			readonly kind: 'log-ack'
@@ -84,7 +84,11 @@
 	/** Witness to owner: your incarnation is no member of the current view. */
 	| { readonly kind: 'fenced'; readonly incarnation: Incarnation; readonly view: ZoneView }
 	/** Box to keeper. */
-	| { readonly kind: 'ask'; readonly incarnation: Incarnation; readonly rows: readonly AskRow[] }
+	| {
+			readonly kind: 'ask'
+			readonly incarnation: Incarnation
+			readonly rows: readonly GrantRequestRow[]
+	  }
 	/** Keeper to box. */
 	| {
 			readonly kind: 'grant'
@@ -107,7 +111,7 @@
 			readonly kind: 'confess'
 			readonly box: BoxName
 			readonly incarnation: Incarnation
-			readonly rows: readonly AskRow[]
+			readonly rows: readonly GrantRequestRow[]
 	  }
 	/** Keeper to the new incarnation: the confession is in the ledger. */
 	| { readonly kind: 'confess-ack'; readonly incarnation: Incarnation }
@@ -132,10 +136,10 @@
 			readonly view: number
 			/** The box whose records these are: the sender, or the one it was witness of. */
 			readonly source: BoxName
-			readonly records: readonly IdentityRecord[]
-			readonly losses: readonly LossMark[]
+			readonly records: readonly IdempotencyRecord[]
+			readonly losses: readonly RecordLoss[]
 	  }
 	| { readonly kind: 'handoff-ack'; readonly view: number; readonly source: BoxName }
 
 /** The last word of an incarnation that was fenced off. @public */
-export type Confession = Extract<PeerMessage, { kind: 'confess' }>
+export type FinalCountersMessage = Extract<PeerMessage, { kind: 'confess' }>
--- a/packages/core/src/lib/router/RouterCore.ts
+++ b/packages/core/src/lib/router/RouterCore.ts
@@ -1,29 +1,34 @@
 import { ConfigController } from '../controllers/ConfigController.js'
-import { IdentityController } from '../controllers/IdentityController.js'
-import { KeeperController } from '../controllers/KeeperController.js'
+import { IdempotencyController } from '../controllers/IdempotencyController.js'
+import { ZoneLeaderController } from '../controllers/ZoneLeaderController.js'
 import { MembershipController } from '../controllers/MembershipController.js'
-import { MoneyController, type MoneyProtections } from '../controllers/MoneyController.js'
+import { SliceController, type SliceProtections } from '../controllers/SliceController.js'
 import { RequestController } from '../controllers/RequestController.js'
 import { TargetController } from '../controllers/TargetController.js'
 import { exhaustive } from '../exhaustive.js'
 import type { BoxName } from '../ids.js'
-import type { WitnessCopy } from '../identity/WitnessCopy.js'
+import type { BoxReplica } from '../identity/BoxReplica.js'
 import { InvariantViolation } from '../InvariantViolation.js'
 import type { ZoneView } from '../membership/ZoneView.js'
 import { maybeRun } from '../Refusal.js'
-import { ALL_REQUEST_PROTECTIONS, type RequestProtections } from '../requests/RunAdvancer.js'
+import { ALL_REQUEST_PROTECTIONS, type RequestProtections } from '../requests/RunAdmission.js'
 import { RunStore } from '../requests/RunStore.js'
 import { DEFAULT_PICK_OPTIONS, type PickOptions } from '../routing/pickTarget.js'
 import type { Millis } from '../units.js'
-import { emptyBlackboard, isSettled, type Blackboard, type BlackboardView } from './Blackboard.js'
+import {
+	createBlackboard,
+	isServingMember,
+	type Blackboard,
+	type BlackboardView,
+} from './Blackboard.js'
 import type { BoxConfig } from './BoxConfig.js'
 import type { CoreAction } from './CoreAction.js'
 import { CoreContext, type RandomSource } from './CoreContext.js'
 import type { CoreEvent } from './CoreEvent.js'
-import type { Confession, PeerMessage } from './PeerMessage.js'
+import type { FinalCountersMessage, PeerMessage } from './PeerMessage.js'
 
 /** All protections of a core; each can be switched off to show that the tests notice. @public */
-export interface Protections extends MoneyProtections, RequestProtections {
+export interface Protections extends SliceProtections, RequestProtections {
 	/** Stop acting once the view no longer has this incarnation. */
 	readonly fencing: boolean
 }
@@ -43,17 +48,17 @@
 	readonly protections: Protections
 	readonly pick: PickOptions
 	/** Throw on a broken invariant instead of logging it; for tests and long runs. */
-	readonly throwOnBreach: boolean
+	readonly throwOnViolation: boolean
 	/** Last word of the incarnation before, if it was fenced off. */
-	readonly confession: Confession | undefined
+	readonly finalCounters: FinalCountersMessage | undefined
 }
 
 /** Options in production. @public */
 export const DEFAULT_CORE_OPTIONS: RouterCoreOptions = {
 	protections: ALL_PROTECTIONS,
 	pick: DEFAULT_PICK_OPTIONS,
-	throwOnBreach: false,
-	confession: undefined,
+	throwOnViolation: false,
+	finalCounters: undefined,
 }
 
 /**
@@ -63,95 +68,98 @@
  * @public
  */
 export class RouterCore {
-	readonly board: BlackboardView
+	readonly blackboard: BlackboardView
 	private readonly context: CoreContext
 	private readonly config: ConfigController
 	private readonly membership: MembershipController
-	private readonly identity: IdentityController
-	private readonly money: MoneyController
-	private readonly keeper: KeeperController
+	private readonly idempotency: IdempotencyController
+	private readonly slices: SliceController
+	private readonly zoneLeader: ZoneLeaderController
 	private readonly targets: TargetController
 	private readonly requests: RequestController
-	private readonly testimonies = new Map<string, { copy: WitnessCopy; sentAt: Millis }>()
+	private readonly pendingReplicaReports = new Map<
+		string,
+		{ replica: BoxReplica; sentAt: Millis }
+	>()
 	private readonly options: RouterCoreOptions
-	private confession: Confession | undefined
-	private confessedAt: Millis = -Infinity
-	private fenced = false
-	private exited = false
+	private finalCounters: FinalCountersMessage | undefined
+	private finalCountersSentAt: Millis = -Infinity
+	private isFenced = false
+	private hasExited = false
 
 	constructor(self: BoxConfig, random: RandomSource, options: Partial<RouterCoreOptions> = {}) {
 		this.options = { ...DEFAULT_CORE_OPTIONS, ...options }
-		this.confession = this.options.confession
-		const board: Blackboard = emptyBlackboard()
+		this.finalCounters = this.options.finalCounters
+		const board: Blackboard = createBlackboard()
 		const { protections } = this.options
-		this.board = board
+		this.blackboard = board
 		this.context = new CoreContext(self, board, random)
 		this.config = new ConfigController(this.context, board.config)
-		this.money = new MoneyController(this.context, board.money, protections)
-		this.identity = new IdentityController(
+		this.slices = new SliceController(this.context, board.slices, protections)
+		this.idempotency = new IdempotencyController(
 			this.context,
-			board.identity,
-			{ onSealed: (copy) => this.onSealed(copy) },
+			board.idempotency,
+			{ onSealed: (copy) => this.onReplicaSealed(copy) },
 			{
-				budgets: () => board.money.ledger.budgets(),
-				moneyRow: (budget, watermark) => this.money.moneyRow(budget, watermark),
-				onAcked: (row) => this.money.onAcked(row),
-				onNewerView: (view) => this.membership.takeView(view),
+				budgets: () => board.slices.ledger.budgets(),
+				sliceRow: (budget, watermark) => this.slices.sliceRow(budget, watermark),
+				onAcknowledged: (row) => this.slices.onAcknowledged(row),
+				onNewerView: (view) => this.membership.applyView(view),
 			},
 		)
-		this.money.log = this.identity.log
-		this.keeper = new KeeperController(this.context)
+		this.slices.replicationLog = this.idempotency.replicationLog
+		this.zoneLeader = new ZoneLeaderController(this.context)
 		this.targets = new TargetController(this.context, board.targets, this.options.pick)
 		this.requests = new RequestController({
 			context: this.context,
 			store: new RunStore(this.context, board.requests),
-			identity: this.identity,
-			money: this.money,
+			idempotency: this.idempotency,
+			slices: this.slices,
 			targets: this.targets,
 			protections,
 		})
-		this.membership = this.makeMembership(board)
+		this.membership = this.createMembership(board)
 	}
 
 	/** True where callers may be sent here. */
 	isReady(): boolean {
-		const { config, members } = this.board
-		const settled = isSettled(this.board, this.context.self)
-		return config.index !== undefined && settled && !members.stopping
+		const { config, members } = this.blackboard
+		const settled = isServingMember(this.blackboard, this.context.self)
+		return config.index !== undefined && settled && !members.isStopping
 	}
 
 	/** Takes one event; returns what the shell has to do. */
 	handle(event: CoreEvent, now: Millis): CoreAction[] {
 		this.context.now = now
-		if (this.fenced || this.exited) return []
+		if (this.isFenced || this.hasExited) return []
 		try {
 			this.dispatch(event)
-			if (!this.fenced) this.requests.afterEvent()
-			if (!this.fenced) this.identity.log.flush()
+			if (!this.isFenced) this.requests.afterEvent()
+			if (!this.isFenced) this.idempotency.replicationLog.flush()
 		} catch (error) {
-			if (!(error instanceof InvariantViolation) || this.options.throwOnBreach) throw error
+			if (!(error instanceof InvariantViolation) || this.options.throwOnViolation) throw error
 			this.context.log('invariant-breach', { ...error.facts, invariant: error.invariant })
-			this.refuseBroken(event)
+			this.refuseAfterViolation(event)
 		}
-		return this.context.drain()
+		return this.context.takeActions()
 	}
 
 	/** A request whose handling would have broken an invariant is answered, and not called not run. */
-	private refuseBroken(event: CoreEvent): void {
+	private refuseAfterViolation(event: CoreEvent): void {
 		if (event.kind !== 'request') return
 		const { callId } = event.request
 		const refusal = maybeRun('internal', 'an invariant would have been broken')
 		this.context.emit({ kind: 'refuse', callId, refusal })
 	}
 
-	private makeMembership(board: Blackboard): MembershipController {
+	private createMembership(board: Blackboard): MembershipController {
 		return new MembershipController(this.context, board.members, board.roles, {
-			onView: (before, after) => this.onView(before, after),
+			onViewChange: (before, after) => this.onViewChange(before, after),
 			onFenced: () => this.fence(),
-			onKeeper: () => this.keeper.onKeeper(),
+			onLeaderChange: () => this.zoneLeader.onLeaderChange(),
 			bundleVersion: () => this.config.version(),
-			offerBundle: (version) => this.config.offer(version),
-			drained: () => this.isDrained(),
+			noteBundleVersion: (version) => this.config.noteVersion(version),
+			isDrained: () => this.isDrained(),
 		})
 	}
 
@@ -161,9 +169,9 @@
 				this.tick()
 				return
 			case 'bundle':
-				if (!this.config.take(event.bundle)) return
+				if (!this.config.apply(event.bundle)) return
 				this.targets.tick()
-				this.membership.announce()
+				this.membership.scheduleHeartbeat()
 				return
 			case 'request':
 				this.requests.onRequest(event.request)
@@ -178,22 +186,22 @@
 				this.requests.onAttemptEnded(event.runId, event.attempt, event.outcome)
 				return
 			case 'platform':
-				this.membership.notePlatform(event.result)
-				this.context.completePlatform(event.opId, event.result)
+				this.membership.notePlatformResult(event.result)
+				this.context.handlePlatformResult(event.opId, event.result)
 				return
 			case 'peer':
-				this.onPeer(event.from, event.message)
+				this.onPeerMessage(event.from, event.message)
 				return
 			case 'load':
 				this.targets.onLoad(event.reports)
-				this.membership.shareReports(event.reports)
+				this.membership.addLoadReports(event.reports)
 				return
 			case 'leaving-targets':
-				this.targets.onLeaving(event.targets)
-				this.membership.shareLeaving(event.targets)
+				this.targets.setListedLeaving(event.targets)
+				this.membership.setLeavingTargets(event.targets)
 				return
 			case 'stop':
-				this.membership.stop()
+				this.membership.beginStop()
 				this.context.log('stop-begun', {})
 				return
 			default:
@@ -203,19 +211,19 @@
 
 	private tick(): void {
 		this.membership.tick()
-		if (this.fenced) return
+		if (this.isFenced) return
 		this.config.tick()
 		this.targets.tick()
 		this.requests.tick()
-		this.money.tick()
-		this.keeper.tick()
-		this.identity.tick()
-		this.resendTestimonies()
-		this.resendConfession()
-		if (this.board.members.stopping) this.stopStep()
+		this.slices.tick()
+		this.zoneLeader.tick()
+		this.idempotency.tick()
+		this.sendReplicaReports()
+		this.sendFinalCounters()
+		if (this.blackboard.members.isStopping) this.advanceStop()
 	}
 
-	private onPeer(from: BoxName, message: PeerMessage): void {
+	private onPeerMessage(from: BoxName, message: PeerMessage): void {
 		switch (message.kind) {
 			case 'heartbeat':
 				this.membership.onHeartbeat(message)
@@ -223,124 +231,128 @@
 			case 'digest':
 				this.membership.onDigest(message)
 				this.targets.onLoad(message.reports)
-				this.targets.onLeaving(message.leavingTargets)
+				this.targets.setListedLeaving(message.leavingTargets)
 				return
 			case 'log':
-				this.identity.onLog(from, message)
+				this.idempotency.onReplicationBatch(from, message)
 				return
 			case 'log-ack':
-				this.identity.onAck(message)
+				this.idempotency.onAck(message)
 				return
 			case 'fenced':
 				if (message.incarnation === this.context.self.incarnation)
-					this.membership.takeView(message.view)
+					this.membership.applyView(message.view)
 				return
 			case 'ask':
-				this.keeper.onAsk(from, message)
+				this.zoneLeader.onGrantRequest(from, message)
 				return
 			case 'grant':
-				this.money.onGrant(message)
+				this.slices.onGrant(message)
 				return
 			case 'recall':
-				this.money.onRecall(message.rows)
+				this.slices.onRecall(message.rows)
 				return
 			case 'testimony':
-				this.keeper.onTestimony(from, message)
+				this.zoneLeader.onReplicaReport(from, message)
 				return
 			case 'testimony-ack':
-				this.testimonies.delete(`${message.box}#${message.incarnation}`)
-				this.identity.dropCopy(message.box, message.incarnation)
+				this.pendingReplicaReports.delete(`${message.box}#${message.incarnation}`)
+				this.idempotency.dropReplica(message.box, message.incarnation)
 				return
 			case 'confess':
-				this.keeper.onConfess(from, message)
+				this.zoneLeader.onFinalCounters(from, message)
 				return
 			case 'confess-ack':
-				if (message.incarnation === this.confession?.incarnation) this.confession = undefined
+				if (message.incarnation === this.finalCounters?.incarnation) this.finalCounters = undefined
 				return
 			case 'transfer-ask':
-				this.money.onTransferAsk(from, message)
+				this.slices.onTransferRequest(from, message)
 				return
 			case 'transfer':
-				this.money.onTransfer(from, message)
+				this.slices.onTransfer(from, message)
 				return
 			case 'handoff':
-				this.identity.onHandoff(from, message)
+				this.idempotency.onHandoff(from, message)
 				return
 			case 'handoff-ack':
-				this.identity.onHandoffAck(from, message)
+				this.idempotency.onHandoffAck(from, message)
 				return
 			default:
 				exhaustive(message)
 		}
 	}
 
-	private onView(before: ZoneView, after: ZoneView): void {
-		this.requests.onView()
-		this.money.onView()
-		this.identity.onView(before, after)
+	private onViewChange(before: ZoneView, after: ZoneView): void {
+		this.requests.onViewChange()
+		this.slices.onViewChange()
+		this.idempotency.onViewChange(before, after)
 	}
 
 	/** As witness of an incarnation that is gone: testify until the ledger has it. */
-	private onSealed(copy: WitnessCopy): void {
-		this.testimonies.set(`${copy.box}#${copy.incarnation}`, { copy, sentAt: -Infinity })
+	private onReplicaSealed(copy: BoxReplica): void {
+		this.pendingReplicaReports.set(`${copy.box}#${copy.incarnation}`, {
+			replica: copy,
+			sentAt: -Infinity,
+		})
 	}
 
-	private resendTestimonies(): void {
-		const { keeper } = this.board.members
+	private sendReplicaReports(): void {
+		const { leader: keeper } = this.blackboard.members
 		if (!keeper) return
-		for (const entry of this.testimonies.values()) {
-			if (this.context.now - entry.sentAt < this.context.self.timing.heartbeat) continue
+		for (const entry of this.pendingReplicaReports.values()) {
+			if (this.context.now - entry.sentAt < this.context.self.timing.heartbeatPeriodMs) continue
 			entry.sentAt = this.context.now
-			const { box, incarnation } = entry.copy
-			const rows = [...entry.copy.testimony()].map(([budget, testimony]) => {
+			const { box, incarnation } = entry.replica
+			const rows = [...entry.replica.replicaReports()].map(([budget, testimony]) => {
 				return { budget, testimony }
 			})
 			this.context.send(keeper, { kind: 'testimony', box, incarnation, rows })
 		}
 	}
 
-	private resendConfession(): void {
-		const { keeper } = this.board.members
-		const due = this.context.now - this.confessedAt >= this.context.self.timing.heartbeat
-		if (!keeper || !this.confession || !due) return
-		this.confessedAt = this.context.now
-		this.context.send(keeper, this.confession)
+	private sendFinalCounters(): void {
+		const { leader: keeper } = this.blackboard.members
+		const due =
+			this.context.now - this.finalCountersSentAt >= this.context.self.timing.heartbeatPeriodMs
+		if (!keeper || !this.finalCounters || !due) return
+		this.finalCountersSentAt = this.context.now
+		this.context.send(keeper, this.finalCounters)
 	}
 
 	/** This incarnation is no member any more: it may finish nothing and starts anew. */
 	private fence(): void {
-		if (this.board.members.stopping && this.isDrained()) {
+		if (this.blackboard.members.isStopping && this.isDrained()) {
 			this.exit()
 			return
 		}
 		if (!this.options.protections.fencing) return
 		this.context.log('box-fenced', { incarnation: this.context.self.incarnation })
-		this.requests.fence()
-		this.fenced = true
+		this.requests.refuseAll()
+		this.isFenced = true
 		const { box, incarnation } = this.context.self
-		const rows = this.money.confession()
-		const confession: Confession = { kind: 'confess', box, incarnation, rows }
-		const retired = this.board.members.view.retired.find((entry) => entry.box === box)
+		const rows = this.slices.finalCounterRows()
+		const confession: FinalCountersMessage = { kind: 'confess', box, incarnation, rows }
+		const retired = this.blackboard.members.view.retired.find((entry) => entry.box === box)
 		const after = retired?.incarnation ?? incarnation
-		this.context.emit({ kind: 'restart', confession, after })
+		this.context.emit({ kind: 'restart', finalCounters: confession, after })
 	}
 
 	private isDrained(): boolean {
-		const { log } = this.identity
-		const safe = log.isSynced() && log.isSafe(log.lastTicket())
-		return this.requests.isIdle() && this.money.allReturned() && safe
+		const { replicationLog: log } = this.idempotency
+		const safe = log.isSynced() && log.isDurable(log.lastPosition())
+		return this.requests.isIdle() && this.slices.isAllReturned() && safe
 	}
 
-	private stopStep(): void {
-		if (this.board.roles.keeper && this.membership.othersStay()) this.membership.resign()
+	private advanceStop(): void {
+		if (this.blackboard.roles.isLeader && this.membership.hasStayingPeer()) this.membership.resign()
 		if (!this.requests.isIdle()) return
-		this.money.returnAll()
-		if (this.isDrained() && this.board.members.view.number === 0) this.exit()
+		this.slices.returnAllIdle()
+		if (this.isDrained() && this.blackboard.members.view.number === 0) this.exit()
 	}
 
 	private exit(): void {
 		this.membership.resign()
-		this.exited = true
+		this.hasExited = true
 		this.context.log('stop-done', {})
 		this.context.emit({ kind: 'exit' })
 	}
--- a/packages/gateway/src/lib/AllowanceClaimer.ts
+++ b/packages/gateway/src/lib/AllowanceClaimer.ts
@@ -84,7 +84,7 @@
 			return false
 		const budgets = maxByAccount(row.budgets, this.state.budgets.tokens)
 		const { spendingLimits, startedAt } = previous.right
-		const facts = { box, mark: spendingLimits, startedAt, era, budgets, isFirstStart }
+		const facts = { box, spendingLimits, startedAt, era, budgets, isFirstStart }
 		const spent = maxSpentByPredecessor(row, facts)
 		const claimedRow = planClaim(row, { box, holder, address, spent, era, isFirstStart })
 		const result = await this.record.write(claimedRow)
--- a/packages/gateway/src/lib/AllowanceClient.test.ts
+++ b/packages/gateway/src/lib/AllowanceClient.test.ts
@@ -271,20 +271,20 @@
 			await advance(fleet, 50)
 		}
 		await advance(fleet, 1_000)
-		const before = fleet.store.calls.get('write') ?? 0
+		const before = fleet.store.callCounts.get('write') ?? 0
 		for (let i = 0; i < 100; i++) {
 			void fleet.request('box-3', 1_100, 1)
 			await advance(fleet, 20)
 		}
 		// Within these two seconds, each lender only renews its spending limits and publishes its spent tokens
 		// about once per second.
-		expect((fleet.store.calls.get('write') ?? 0) - before).toBeLessThan(12)
+		expect((fleet.store.callCounts.get('write') ?? 0) - before).toBeLessThan(12)
 	})
 
 	it('resumes drawing after it read an invalid record', async () => {
 		const fleet = new BudgetTestFleet(BUDGET, 0)
 		await advance(fleet, CLAIM_ALL_MS)
-		const validRecord = fleet.store.text('allowance') ?? ''
+		const validRecord = fleet.store.getText('allowance') ?? ''
 		fleet.store.put('allowance', 'not a record')
 		await advance(fleet, 3_000)
 		expect(await requestAndWait(fleet, 'box-1', 9_000)).toBe(false)
--- a/packages/gateway/src/lib/CrashWatch.test.ts
+++ b/packages/gateway/src/lib/CrashDetector.test.ts
@@ -8,16 +8,16 @@
 import { Metrics } from '@stallwing/telemetry'
 import { beforeEach, describe, expect, it } from 'vitest'
 import type { ConnectionPool, ProbeResult } from './ConnectionPool.js'
-import { CrashWatch, type BrokenRun } from './CrashWatch.js'
+import { CrashDetector, type BrokenRun } from './CrashDetector.js'
 import { targetEntryOf } from './testBox.js'
 
-const PENDING_MS = 10_000
+const PENDING_RUN_RETENTION_MS = 10_000
 const TARGET = { ...targetEntryOf('t1', '127.0.0.1:1'), bornAt: 1 }
 const REQUEST = { fingerprint: brandId<RequestFingerprint>('f'), hint: 1 }
 
 describe('CrashWatch', () => {
 	let quarantine: RequestQuarantine
-	let watch: CrashWatch
+	let watch: CrashDetector
 	let logged: LogEvent[]
 	let now: number
 	let listed: boolean
@@ -31,7 +31,7 @@
 		listed = true
 		result = 'accepted'
 		probes = 0
-		watch = new CrashWatch({
+		watch = new CrashDetector({
 			quarantine,
 			pool: () =>
 				({
@@ -40,8 +40,8 @@
 						return Promise.resolve(result)
 					},
 				}) as Partial<ConnectionPool> as ConnectionPool,
-			isListed: () => listed,
-			onRecord: () => undefined,
+			isAvailable: () => listed,
+			onRecordChanged: () => undefined,
 			metrics: new Metrics(),
 			now: () => now,
 			log: (event) => logged.push(event),
@@ -49,11 +49,11 @@
 	})
 
 	function broken(more: Partial<BrokenRun> = {}): Promise<void> {
-		return watch.noteBroken({
+		return watch.noteBrokenRun({
 			identity: REQUEST,
 			target: TARGET,
-			beganAt: now - 60,
-			wasClosed: true,
+			startedAt: now - 60,
+			closedByTarget: true,
 			...more,
 		})
 	}
@@ -66,7 +66,7 @@
 		result = 'refused'
 		await broken()
 		expect(quarantine.all[0]?.runs).toEqual([
-			{ life: incarnationOf(TARGET), beganAt: 40, endedAt: 100 },
+			{ incarnation: incarnationOf(TARGET), startedAt: 40, endedAt: 100 },
 		])
 		expect(logged.map((event) => event.name)).toEqual(['target-ended', 'request-suspected'])
 	})
@@ -97,36 +97,36 @@
 	})
 
 	it('learns from the list that a silent target ended, within some seconds', async () => {
-		await broken({ wasClosed: false })
+		await broken({ closedByTarget: false })
 		expect(probes).toBe(0)
 		expect(lives()).toBe(0)
 		now += 4_000
-		watch.noteListed([TARGET], [])
+		watch.noteTargetChanges([TARGET], [])
 		expect(lives()).toBe(1)
-		await broken({ wasClosed: false, target: { ...TARGET, bornAt: 2 } })
-		now += PENDING_MS + 1
-		watch.noteListed([{ ...TARGET, bornAt: 2 }], [])
+		await broken({ closedByTarget: false, target: { ...TARGET, bornAt: 2 } })
+		now += PENDING_RUN_RETENTION_MS + 1
+		watch.noteTargetChanges([{ ...TARGET, bornAt: 2 }], [])
 		expect(lives()).toBe(1)
 	})
 
 	it('holds an end against a request whose answer breaks off after the new start was heard of', async () => {
-		watch.noteListed([TARGET], [])
+		watch.noteTargetChanges([TARGET], [])
 		listed = false
-		await broken({ wasClosed: false })
+		await broken({ closedByTarget: false })
 		expect(lives()).toBe(1)
 	})
 
 	it('holds nothing against a request whose target was there after its answer broke off, and ended later', async () => {
 		await broken()
 		now += 1_000
-		watch.noteListed([TARGET], [])
+		watch.noteTargetChanges([TARGET], [])
 		expect(lives()).toBe(0)
 	})
 
 	it('holds nothing against a request whose answer broke off long before the target ended', async () => {
 		result = 'no-answer'
 		await broken()
-		now += PENDING_MS + 1
+		now += PENDING_RUN_RETENTION_MS + 1
 		result = 'refused'
 		const other = { fingerprint: brandId<RequestFingerprint>('g'), hint: 2 }
 		await broken({ identity: other })
@@ -134,10 +134,10 @@
 	})
 
 	it('takes a target that left as planned for no end', async () => {
-		await broken({ wasClosed: false })
-		watch.noteListed([], [{ ...TARGET, leaving: true }])
+		await broken({ closedByTarget: false })
+		watch.noteTargetChanges([], [{ ...TARGET, leaving: true }])
 		expect(lives()).toBe(0)
-		watch.noteListed([], [TARGET])
+		watch.noteTargetChanges([], [TARGET])
 		expect(lives()).toBe(1)
 	})
 })
--- a/packages/gateway/src/lib/CrashProtection.ts
+++ b/packages/gateway/src/lib/CrashProtection.ts
@@ -9,7 +9,7 @@
 import type { KeyValueStore, StoreItem } from '@stallwing/store'
 import type { Metrics } from '@stallwing/telemetry'
 import type { ConnectionPool } from './ConnectionPool.js'
-import { CrashWatch, type BrokenRun } from './CrashWatch.js'
+import { CrashDetector, type BrokenRun } from './CrashDetector.js'
 import type { PeerDatagrams } from './PeerDatagrams.js'
 import { QuarantineSharing } from './QuarantineSharing.js'
 import { QuarantineStore } from './QuarantineStore.js'
@@ -35,7 +35,7 @@
 }
 
 /** Why a request isn't sent to a target now. */
-export interface HeldBack {
+export interface QuarantineHold {
 	readonly detail: string
 	/** When it may run again, as far as is known, in ms from now. */
 	readonly opensInMs: number
@@ -53,7 +53,7 @@
 }
 
 /** Pause asked for where a request on probation runs already, in ms: most runs are over by then. */
-const PROBATION_PAUSE_MS = 1_000
+const PROBATION_RETRY_AFTER_MS = 1_000
 
 /**
  * Keeps requests that end their targets away from further ones, at all boxes: watches for targets that end, tells
@@ -61,46 +61,54 @@
  */
 export class CrashProtection {
 	private readonly quarantine = new RequestQuarantine()
-	private readonly watch: CrashWatch
-	private readonly sharing: QuarantineSharing
-	private readonly kept: QuarantineStore
+	private readonly crashDetector: CrashDetector
+	private readonly quarantineSharing: QuarantineSharing
+	private readonly quarantineStore: QuarantineStore
 	/** Runs under way of requests that something is known of. */
-	private readonly running = new Map<RequestFingerprint, number>()
+	private readonly activeRuns = new Map<RequestFingerprint, number>()
 
 	constructor(private readonly options: CrashProtectionOptions) {
 		const { quarantine } = this
-		const onHeard = (records: readonly CrashRecord[]): void => this.logHeard(records)
-		this.watch = new CrashWatch({
+		const onHeard = (records: readonly CrashRecord[]): void => this.logReceived(records)
+		this.crashDetector = new CrashDetector({
 			...options,
 			quarantine,
-			isListed: (life, target) => options.registry.isAvailable(life, target),
-			onRecord: (record) => this.spread(record),
+			isAvailable: (life, target) => options.registry.isAvailable(life, target),
+			onRecordChanged: (record) => this.publish(record),
+		})
+		this.quarantineSharing = new QuarantineSharing({
+			...options,
+			quarantine,
+			onRecordsReceived: onHeard,
+		})
+		this.quarantineStore = new QuarantineStore({
+			...options,
+			quarantine,
+			onRecordsReceived: onHeard,
 		})
-		this.sharing = new QuarantineSharing({ ...options, quarantine, onHeard })
-		this.kept = new QuarantineStore({ ...options, quarantine, onHeard })
 	}
 
 	start(): void {
-		this.sharing.start()
+		this.quarantineSharing.start()
 	}
 
 	stop(): void {
-		this.sharing.stop()
+		this.quarantineSharing.stop()
 	}
 
 	/** Lets go of what is old. To be called some times a second. */
-	maintain(): void {
+	expireRecords(): void {
 		this.quarantine.expire(this.options.now())
 	}
 
 	/** Takes the record of the fleet from the store, and writes what it lacks. */
-	adopt(item: StoreItem | undefined): void {
-		this.kept.adopt(item)
-		void this.kept.save()
+	applyStored(item: StoreItem | undefined): void {
+		this.quarantineStore.applyStored(item)
+		void this.quarantineStore.save()
 	}
 
 	/** Undefined where the request may be sent to a target. `isFirst`: no target got this try of it yet. */
-	heldBack(content: RequestContent, isFirst: boolean): HeldBack | undefined {
+	checkQuarantine(content: RequestContent, isFirst: boolean): QuarantineHold | undefined {
 		if (!this.quarantine.mayHaveRecord(content.hint)) return undefined
 		const { fingerprint } = content
 		const stage = this.quarantine.stageOf(fingerprint)
@@ -111,28 +119,28 @@
 				detail,
 				opensInMs: this.quarantine.quarantineLeftMs(fingerprint, this.options.now()),
 			}
-		const isFree = isFirst && !this.running.has(fingerprint)
-		return isFree ? undefined : { detail, opensInMs: PROBATION_PAUSE_MS }
+		const isFree = isFirst && !this.activeRuns.has(fingerprint)
+		return isFree ? undefined : { detail, opensInMs: PROBATION_RETRY_AFTER_MS }
 	}
 
 	/** A run begins. Returns what is to be called at its end. */
-	begin(content: RequestContent): () => void {
+	startRun(content: RequestContent): () => void {
 		if (!this.quarantine.mayHaveRecord(content.hint)) return () => undefined
 		const { fingerprint } = content
-		this.running.set(fingerprint, (this.running.get(fingerprint) ?? 0) + 1)
+		this.activeRuns.set(fingerprint, (this.activeRuns.get(fingerprint) ?? 0) + 1)
 		let isOver = false
 		return () => {
 			if (isOver) return
 			isOver = true
-			const left = (this.running.get(fingerprint) ?? 0) - 1
-			if (left > 0) this.running.set(fingerprint, left)
-			else this.running.delete(fingerprint)
+			const left = (this.activeRuns.get(fingerprint) ?? 0) - 1
+			if (left > 0) this.activeRuns.set(fingerprint, left)
+			else this.activeRuns.delete(fingerprint)
 		}
 	}
 
 	/** An answer broke off. Resolves once it is known whether its target ended, as far as that shows soon. */
-	noteBroken(run: BrokenRun): Promise<void> {
-		return this.watch.noteBroken(run)
+	noteBrokenRun(run: BrokenRun): Promise<void> {
+		return this.crashDetector.noteBrokenRun(run)
 	}
 
 	/** A target answered the request to the end. */
@@ -146,12 +154,12 @@
 	}
 
 	/** The list of targets has changed. */
-	noteListed(restarted: readonly TargetEntry[], gone: readonly TargetEntry[]): void {
-		this.watch.noteListed(restarted, gone)
+	noteTargetChanges(restarted: readonly TargetEntry[], gone: readonly TargetEntry[]): void {
+		this.crashDetector.noteTargetChanges(restarted, gone)
 	}
 
 	/** Requests that something is known of. */
-	get suspects(): number {
+	get suspectCount(): number {
 		return this.quarantine.all.filter((record) => record.runs.length > 0).length
 	}
 
@@ -160,7 +168,7 @@
 		const now = this.options.now()
 		return this.quarantine.quarantined.map(({ changedAt, fingerprint, runs }) => ({
 			fingerprint,
-			lives: runs.map((run) => run.life),
+			lives: runs.map((run) => run.incarnation),
 			ageMs: Math.round(now - changedAt),
 			heldMs: Math.round(this.quarantine.quarantineLeftMs(fingerprint, now)),
 		}))
@@ -171,16 +179,16 @@
 		const record = this.quarantine.clear(fingerprint, this.options.now())
 		if (!record) return false
 		this.options.log({ name: 'request-cleared', fields: { fingerprint, why, stageBefore } })
-		this.spread(record)
+		this.publish(record)
 		return true
 	}
 
-	private spread(record: CrashRecord): void {
-		this.sharing.tell(record)
-		void this.kept.save()
+	private publish(record: CrashRecord): void {
+		this.quarantineSharing.share(record)
+		void this.quarantineStore.save()
 	}
 
-	private logHeard(records: readonly CrashRecord[]): void {
+	private logReceived(records: readonly CrashRecord[]): void {
 		for (const { fingerprint, generation, runs } of records) {
 			const stage = this.quarantine.stageOf(fingerprint)
 			this.options.log({
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -45,9 +45,9 @@
 	 * Matches names of the platform's own headers, in lower case. An unknown one may carry information that a box
 	 * needs.
 	 */
-	readonly ownHeader: RegExp
+	readonly platformHeaderPattern: RegExp
 	/** Platform headers in responses that carry nothing that a box needs. Lower case. */
-	readonly unreadHeaders: ReadonlySet<string>
+	readonly ignoredHeaders: ReadonlySet<string>
 	/** The least urgent rank that targets accept. */
 	readonly leastUrgentRank: number
 	/** Response status of a target that is not the expected one. */
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -139,7 +139,7 @@
 	 * Returns true if it did.
 	 */
 	private endIfQuarantined(content: RequestContent): boolean {
-		const heldBack = this.context.crashProtection.heldBack(content, this.attemptsSent === 0)
+		const heldBack = this.context.crashProtection.checkQuarantine(content, this.attemptsSent === 0)
 		if (!heldBack) return false
 		const { detail, opensInMs } = heldBack
 		if (this.attemptsSent > 0) this.fail(detail)
@@ -300,7 +300,7 @@
 		)
 		const mayHaveRunBefore = this.mayHaveRun
 		this.mayHaveRun = true
-		this.endRun = this.context.crashProtection.begin(content)
+		this.endRun = this.context.crashProtection.startRun(content)
 		const end = await this.attempt.run(message)
 		this.endRun()
 		const ran = end.outcome.kind === 'unknown' || end.outcome.kind === 'answered'
@@ -414,7 +414,7 @@
 		const elapsed = this.timeLimit.elapsedMs
 		const route = this.request?.route.name ?? ''
 		metrics.count('stallwing_requests_total', `end="${name}",route="${route}"`)
-		if (name === 'request-answered') metrics.time('stallwing_answer_ms', elapsed)
+		if (name === 'request-answered') metrics.recordDuration('stallwing_answer_ms', elapsed)
 		this.context.log(
 			requestEndEvent(name, this.request, {
 				...facts,
--- a/packages/gateway/src/lib/FeedRelay.test.ts
+++ b/packages/gateway/src/lib/FeedRelay.test.ts
@@ -1,4 +1,4 @@
-import { MemoryStore, type CallFate } from '@stallwing/standins'
+import { MemoryStore, type CallOutcome } from '@stallwing/standins'
 import {
 	PrefixFollower,
 	type WatchableStore,
@@ -9,7 +9,7 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { FeedRelay } from './FeedRelay.js'
-import type { FeedPeers } from './PeerFeeds.js'
+import type { FeedPeers } from './PeerFeedReader.js'
 import { decodeFeedResponse, encodeFeedResponse } from './feedCodec.js'
 import { sleep } from './sleep.js'
 
@@ -30,7 +30,7 @@
 	readonly store = new MemoryStore({
 		now: () => Date.now(),
 		sleep,
-		fate: (caller) => this.fateOf(caller),
+		outcomeOf: (caller) => this.fateOf(caller),
 	})
 	private readonly relays = new Map<string, FeedRelay>()
 	private readonly followers: PrefixFollower[] = []
@@ -101,7 +101,7 @@
 
 	private peers(): FeedPeers {
 		return {
-			changes: async (address, prefix, after, waitMs) => {
+			fetchChanges: async (address, prefix, after, waitMs) => {
 				if (this.unreachableBoxes.has(address)) {
 					await sleep(waitMs + 300)
 					return undefined
@@ -112,7 +112,7 @@
 		}
 	}
 
-	private fateOf(caller: string): CallFate {
+	private fateOf(caller: string): CallOutcome {
 		this.calls.set(caller, (this.calls.get(caller) ?? 0) + 1)
 		return this.boxesWithoutStore.has(caller) ? 'lost' : 'served'
 	}
@@ -303,7 +303,7 @@
 					return watchResults.shift() ?? E.right([])
 				},
 			},
-			peers: { changes: () => Promise.resolve(undefined) },
+			peers: { fetchChanges: () => Promise.resolve(undefined) },
 			isWatcher: () => true,
 			hasDependentBoxes: () => false,
 			isFleetKnown: () => true,
--- a/packages/gateway/src/lib/FeedRelay.ts
+++ b/packages/gateway/src/lib/FeedRelay.ts
@@ -9,7 +9,12 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { handleFeedRequest, changesByteLength, type FeedResponse } from './handleFeedRequest.js'
 import { FeedState } from './FeedState.js'
-import { PeerFeeds, RELAY_WAIT_MS, type FeedPeers, type Heard } from './PeerFeeds.js'
+import {
+	PeerFeedReader,
+	MAX_RELAY_WAIT_MS,
+	type FeedPeers,
+	type PeerFeedResult,
+} from './PeerFeedReader.js'
 import { StoreProbeSchedule } from './StoreProbeSchedule.js'
 import { StoreRecovery } from './StoreRecovery.js'
 
@@ -81,7 +86,7 @@
  */
 export class FeedRelay implements WatchableStore {
 	private readonly feeds = new Map<string, FeedState>()
-	private readonly peerFeeds: PeerFeeds
+	private readonly peerFeeds: PeerFeedReader
 	private readonly probeSchedule: StoreProbeSchedule
 	private readonly storeRecovery: StoreRecovery
 	private pendingEraCheck: Promise<boolean> | undefined
@@ -91,10 +96,10 @@
 
 	constructor(private readonly options: FeedRelayOptions) {
 		const { log, now, peers, sleep, watcherAddresses } = options
-		this.peerFeeds = new PeerFeeds({
+		this.peerFeeds = new PeerFeedReader({
 			peers,
 			watchers: watcherAddresses,
-			freshMs: this.maxConfirmationAgeMs,
+			maxConfirmationAgeMs: this.maxConfirmationAgeMs,
 			now,
 			sleep,
 			log,
@@ -143,7 +148,7 @@
 	 */
 	pause(ms: number): Promise<void> {
 		return this.storeRecovery.pause(
-			this.peerFeeds.isAlone ? Math.min(ms, MAX_ISOLATED_PAUSE_MS) : ms,
+			this.peerFeeds.hasNoReachablePeer ? Math.min(ms, MAX_ISOLATED_PAUSE_MS) : ms,
 		)
 	}
 
@@ -157,9 +162,12 @@
 	}
 
 	/** Asks the watchers for changes; `returned` means that this box should call the store itself. */
-	private async askPeers(prefix: string, after: StoreRevision): Promise<Heard | StoreReturned> {
+	private async askPeers(
+		prefix: string,
+		after: StoreRevision,
+	): Promise<PeerFeedResult | StoreReturned> {
 		if (this.watchesStore && this.storeRecovery.isRecovered) return { kind: 'returned' }
-		const request = this.peerFeeds.ask(this.feed(prefix), prefix, after)
+		const request = this.peerFeeds.query(this.feed(prefix), prefix, after)
 		if (this.watchesStore) {
 			const returned = this.storeRecovery
 				.waitForRecovery()
@@ -196,7 +204,7 @@
 		if (after.era > store.era) this.refreshEra()
 		return handleFeedRequest(feed, {
 			after,
-			waitMs: Math.min(waitMs, RELAY_WAIT_MS),
+			waitMs: Math.min(waitMs, MAX_RELAY_WAIT_MS),
 			maxConfirmationAgeMs,
 			now,
 		})
@@ -235,7 +243,10 @@
 	 * Probes the store after no peer had current data. If the peers respond but cannot reach the store either, it is
 	 * probably down for the whole fleet, and boxes probe it less often.
 	 */
-	private async probeStore(prefix: string, peerResult: Heard): Promise<Heard | StoreReturned> {
+	private async probeStore(
+		prefix: string,
+		peerResult: PeerFeedResult,
+	): Promise<PeerFeedResult | StoreReturned> {
 		if (!this.isStoreReachable) {
 			if (!this.probeSchedule.isDue(peerResult.kind === 'stale')) return peerResult
 			const isReachable = await this.options.store.ping()
@@ -276,7 +287,7 @@
 		after: StoreRevision,
 	): Promise<E.Either<StoreFault, readonly StoreChange[]>> {
 		await this.awaitBatch(prefix)
-		const result = await this.watchStore(prefix, after, RELAY_WAIT_MS)
+		const result = await this.watchStore(prefix, after, MAX_RELAY_WAIT_MS)
 		this.startBatch(prefix, result)
 		this.isStoreReachable = E.isRight(result) || result.left.kind === 'history-gone'
 		return result
@@ -357,7 +368,7 @@
 
 /** Converts a result from peers for a follower; `fault` if no peer had current data. */
 function toChanges(
-	peerResult: Heard,
+	peerResult: PeerFeedResult,
 	fault: StoreFault = NO_SOURCE,
 ): E.Either<StoreFault, readonly StoreChange[]> {
 	switch (peerResult.kind) {
--- a/packages/gateway/src/lib/FleetMembership.test.ts
+++ b/packages/gateway/src/lib/FleetMembership.test.ts
@@ -1,5 +1,5 @@
 import { brandId, type AccountName, type BoxName, type ZoneName } from '@stallwing/core'
-import { MemoryStore, type CallFate } from '@stallwing/standins'
+import { MemoryStore, type CallOutcome } from '@stallwing/standins'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { FleetMembership } from './FleetMembership.js'
 import { sleep } from './sleep.js'
@@ -7,14 +7,14 @@
 const ACCOUNT = brandId<AccountName>('acme')
 
 describe('FleetMembership', () => {
-	let fate: CallFate
+	let fate: CallOutcome
 	let store: MemoryStore
 	let memberships: FleetMembership[]
 
 	beforeEach(() => {
 		vi.useFakeTimers()
 		fate = 'served'
-		store = new MemoryStore({ now: () => Date.now(), sleep, fate: () => fate })
+		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => fate })
 		memberships = []
 	})
 
@@ -67,11 +67,11 @@
 	it('keeps its registration across a restart without another write', async () => {
 		start(0, 0)
 		await vi.advanceTimersByTimeAsync(1_000)
-		const writes = store.calls.get('write')
+		const writes = store.callCounts.get('write')
 		const restarted = start(0, 0)
 		await vi.advanceTimersByTimeAsync(100)
 		expect(restarted.isFleetKnown).toBe(true)
-		expect(store.calls.get('write')).toBe(writes)
+		expect(store.callCounts.get('write')).toBe(writes)
 	})
 
 	it('learns of boxes that join later, and assumes 16 boxes until it has listed them', async () => {
@@ -105,7 +105,7 @@
 	it('registers again after a restore of the store without its item, and keeps known boxes', async () => {
 		start(0, 0)
 		await vi.advanceTimersByTimeAsync(3_000)
-		const backup = store.copy()
+		const backup = store.snapshot()
 		start(0, 1)
 		start(0, 2)
 		await vi.advanceTimersByTimeAsync(10_000)
--- a/packages/gateway/src/lib/Gateway.test.ts
+++ b/packages/gateway/src/lib/Gateway.test.ts
@@ -90,7 +90,7 @@
 
 	it('sends no new requests to a target that the store lists as leaving', async () => {
 		await startBox(['t1', respondOk], ['t2', respondOk])
-		const entry = JSON.parse(box.store.text('targets/t1') ?? '') as TargetEntry
+		const entry = JSON.parse(box.store.getText('targets/t1') ?? '') as TargetEntry
 		box.listTarget('t1', entry.address, true)
 		await sleep(100)
 		for (let i = 0; i < 10; i++) await box.sendRequest('/once/x', { id: `r-${i}` })
@@ -118,7 +118,7 @@
 
 	it('chooses another target if the zone is cordoned while a request waits for tokens', async () => {
 		await startBox(['t1', respondOk], ['t2', respondOk])
-		const entry = JSON.parse(box.store.text('targets/t2') ?? '') as TargetEntry
+		const entry = JSON.parse(box.store.getText('targets/t2') ?? '') as TargetEntry
 		box.store.put('targets/t2', JSON.stringify({ ...entry, zone: 'z2' }))
 		box.storeFate = 'lost'
 		const waiting = [1, 2, 3, 4].map((i) =>
@@ -137,7 +137,7 @@
 	it('sends requests only to regions that their route allows', async () => {
 		await startBox(['t1', respondOk], ['t2', respondOk])
 		expect((await box.sendRequest('/home/x')).status).toBe(503)
-		const entry = JSON.parse(box.store.text('targets/t2') ?? '') as TargetEntry
+		const entry = JSON.parse(box.store.getText('targets/t2') ?? '') as TargetEntry
 		box.store.put('targets/t2', JSON.stringify({ ...entry, zone: 'z2' }))
 		await sleep(100)
 		for (let i = 0; i < 5; i++)
@@ -192,7 +192,7 @@
 
 	it('respects a drain and loses no request while the store is unavailable', async () => {
 		await startBox(['t1', respondOk], ['t2', respondOk])
-		const entry = JSON.parse(box.store.text('targets/t1') ?? '') as TargetEntry
+		const entry = JSON.parse(box.store.getText('targets/t1') ?? '') as TargetEntry
 		box.listTarget('t1', entry.address, true)
 		await sleep(100)
 		box.storeFate = 'lost'
@@ -238,7 +238,7 @@
 
 	it('keeps its configuration and the budget when the store is restored from a backup', async () => {
 		await startBox(['t1', respondOk])
-		const backup = box.store.copy()
+		const backup = box.store.snapshot()
 		box.configure(2)
 		const sendWithTokens = async (id: string): Promise<number> =>
 			(await box.sendRequest('/once/x', { id, headers: { tokens: '10' } })).status
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -84,7 +84,7 @@
 			prefix: options.storeLayout.boxPrefix,
 			listPrefix: options.storeLayout.fleetPrefix,
 			onListed: (items) =>
-				this.sharing.crashes.adopt(
+				this.sharing.crashProtection.applyStored(
 					items.find(({ key }) => key === options.storeLayout.quarantineKey),
 				),
 			self: { box: options.box, zone: options.zone, address, cores: options.cores },
@@ -93,7 +93,7 @@
 			log: options.log,
 		})
 		const peers = new PeerClient(options.box, options.now, (work) =>
-			this.sharing.work.noteFleetWork(work),
+			this.sharing.workSharing.noteFleetWork(work),
 		)
 		this.registry = new TargetRegistry({
 			rateLimits: {
@@ -121,7 +121,7 @@
 		this.allowance = new AllowanceClient({
 			store: this.store,
 			recordKey: options.storeLayout.allowanceKey,
-			spendingLimitKey: `${options.storeLayout.markPrefix}${options.box}`,
+			spendingLimitKey: `${options.storeLayout.spendingLimitPrefix}${options.box}`,
 			box: options.box,
 			holder: options.incarnation,
 			address,
@@ -134,7 +134,7 @@
 			// Token budgets need a clock that never runs fast, on which a spending limit would expire too early.
 			now: options.now,
 			wallTime: options.wallTime,
-			uptimeMs: options.aliveMs,
+			uptimeMs: options.uptimeMs,
 			random: options.random,
 			sleep,
 			log: options.log,
@@ -153,7 +153,8 @@
 			registry: this.registry,
 			readTarget: (item) => options.storeLayout.readTarget(item),
 			onDropped: (target) => this.pools.remove(target.name),
-			onEnded: (restarted, removed) => this.sharing.crashes.noteListed(restarted, removed),
+			onEnded: (restarted, removed) =>
+				this.sharing.crashProtection.noteTargetChanges(restarted, removed),
 			listAgeMs: () => this.targetListAgeMs,
 			storeAvailableMs: () => this.feed.storeAvailableMs(options.storeLayout.targetsPrefix),
 			now: options.now,
@@ -199,12 +200,13 @@
 		this.readinessServer = new ReadinessServer(() => this.isReady, options.log)
 		this.peerServer = new PeerServer({
 			lend: (account, request) => this.allowance.lend(account, request),
-			fleetWork: (peer) => (this.membership.isLarge ? this.sharing.work.fleetWork(peer) : []),
-			accept: (account, tokens, budgetsVersion) =>
+			fleetWork: (peer) =>
+				this.membership.isLarge ? this.sharing.workSharing.fleetWork(peer) : [],
+			acceptTokens: (account, tokens, budgetsVersion) =>
 				this.allowance.acceptTokens(account, tokens, budgetsVersion),
-			remember: (draws) => this.allowance.receiveDraws(draws),
-			isOpen: () => !this.context.isStopping,
-			changes: (prefix, after, waitMs) => this.feed.handleRequest(prefix, after, waitMs),
+			storeDraws: (draws) => this.allowance.receiveDraws(draws),
+			canAcceptTokens: () => !this.context.isStopping,
+			waitForChanges: (prefix, after, waitMs) => this.feed.handleRequest(prefix, after, waitMs),
 		})
 		this.followers = followDocuments({
 			gateway: options,
@@ -289,7 +291,7 @@
 		this.pools.closeExpired()
 		this.targets.maintain()
 		this.cordons.maintain()
-		this.sharing.crashes.maintain()
+		this.sharing.crashProtection.expireRecords()
 	}
 
 	/** Waits until no request is open, at most until the time `latest`. */
@@ -318,7 +320,7 @@
 
 	/** Releases a quarantined request at all boxes. Returns false if it is not quarantined. */
 	releaseQuarantined(fingerprint: string): boolean {
-		return this.sharing.crashes.release(brandId<RequestFingerprint>(fingerprint))
+		return this.sharing.crashProtection.release(brandId<RequestFingerprint>(fingerprint))
 	}
 
 	private makeContext(): GatewayContext {
@@ -329,7 +331,7 @@
 			dialect: options.dialect,
 			registry: this.registry,
 			allowance: this.allowance,
-			crashProtection: this.sharing.crashes,
+			crashProtection: this.sharing.crashProtection,
 			metrics: options.metrics,
 			traffic: undefined,
 			retryLimits: options.retryLimits,
@@ -349,11 +351,11 @@
 			isExpired: (target) => this.targets.isExpired(target),
 			onTargetLeaving: (target) => {
 				this.pools.closeIdle(target.name)
-				this.sharing.leaving.tell(target)
+				this.sharing.leavingSharing.share(target)
 			},
 			unknownHeaders: new UnknownHeaders(options),
 			onTargetRate: (target, perSecond, hasChanged) =>
-				this.sharing.rates.note(target, perSecond, hasChanged),
+				this.sharing.rateSharing.share(target, perSecond, hasChanged),
 			retryBudget: (service) => this.serviceLimits.retryBudget(service),
 			sustainedDelayMs: () => this.loopDelay.sustainedMs,
 			currentDelayMs: () => this.loopDelay.currentMs,
--- a/packages/gateway/src/lib/GatewayOptions.ts
+++ b/packages/gateway/src/lib/GatewayOptions.ts
@@ -65,6 +65,6 @@
 	/** Wall clock, in ms; it may jump. */
 	readonly wallTime: () => number
 	/** Time since this process started, in ms; never more than the true value. */
-	readonly aliveMs: () => number
+	readonly uptimeMs: () => number
 	readonly random: () => number
 }
--- a/packages/gateway/src/lib/GatewayReport.ts
+++ b/packages/gateway/src/lib/GatewayReport.ts
@@ -100,7 +100,7 @@
 			stallwing_targets: status.targets,
 			stallwing_targets_lapsed: targets.lapsedCount,
 			stallwing_targets_unreadable: targets.unreadableCount,
-			stallwing_suspect_requests: context.crashProtection.suspects,
+			stallwing_suspect_requests: context.crashProtection.suspectCount,
 			stallwing_quarantined_requests: status.quarantined.length,
 			stallwing_targets_cold: status.coldTargets,
 			stallwing_targets_said_leaving: countWhere(
--- a/packages/gateway/src/lib/PeerClient.ts
+++ b/packages/gateway/src/lib/PeerClient.ts
@@ -10,34 +10,34 @@
 import type { ReplicatedDraws } from './DrawReplicator.js'
 import { decodeFeedResponse } from './feedCodec.js'
 import type { FeedResponse } from './handleFeedRequest.js'
-import type { FeedPeers } from './PeerFeeds.js'
+import type { FeedPeers } from './PeerFeedReader.js'
 import { parseAddress } from './parseAddress.js'
 import { fromWireWork } from './workCodec.js'
 import { ACCEPT_PATH, CHANGES_PATH, DRAWS_PATH, LEND_PATH, OPEN_PATH } from './PeerServer.js'
 
 /** Longest wait for an answer, in ms: what a box lends is not lost where it is late. */
-const ASK_MS = 1_500
+const LEND_TIMEOUT_MS = 1_500
 /** A time-out that comes later than this after its time is one of a busy box, in ms. */
-const OWN_LAG_MS = 40
+const LOCAL_DELAY_TOLERANCE_MS = 40
 /** Longest wait for the short answer of a box that stops or is asked whether it is there, in ms. */
-const STATUS_MS = 160
+const STATUS_TIMEOUT_MS = 160
 /** Time beyond the wait that an answer about changes may take, in ms. */
-const CHANGES_GRACE_MS = 300
-const CONNECTIONS = 6
+const CHANGES_TIMEOUT_MARGIN_MS = 300
+const MAX_CONNECTIONS = 6
 /**
  * Connections to a box for calls about changes: one for each prefix that waits, one for a call that is given
  * up. Calls for tokens that nobody answers hold theirs for up to 1.5 s.
  */
-const CHANGES_CONNECTIONS = 3
+const MAX_CHANGES_CONNECTIONS = 3
 /** Time for which a box that did not answer is not asked again, in ms. */
-const AVOID_MS = 1_500
+const BACKOFF_MS = 1_500
 
 /** Asks other boxes. */
 export class PeerClient implements TokenPeers, FeedPeers {
-	private readonly callers = new Map<string, HttpClient>()
-	private readonly changesCallers = new Map<string, HttpClient>()
+	private readonly clients = new Map<string, HttpClient>()
+	private readonly changesClients = new Map<string, HttpClient>()
 	/** Boxes that did not answer, and until when they are not asked. */
-	private readonly avoidedUntil = new Map<string, number>()
+	private readonly backoffUntil = new Map<string, number>()
 
 	constructor(
 		private readonly box: BoxName,
@@ -51,26 +51,30 @@
 		account: AccountName,
 		request: LendRequest,
 	): Promise<LendResponse> {
-		if (this.isAvoided(address)) return EMPTY_LEND_RESPONSE
+		if (this.isBackingOff(address)) return EMPTY_LEND_RESPONSE
 		const { tokens, ahead } = request
 		const fields = { account, tokens: String(tokens), ahead: String(ahead), box: this.box }
 		const began = this.now()
 		try {
 			const path = `${LEND_PATH}?${new URLSearchParams(fields)}`
-			const reply = await this.caller(address).send({ method: 'POST', path, timeoutMs: ASK_MS })
+			const reply = await this.clientFor(address).send({
+				method: 'POST',
+				path,
+				timeoutMs: LEND_TIMEOUT_MS,
+			})
 			if (reply.status !== 200) throw new Error(`status ${reply.status}`)
-			this.avoidedUntil.delete(address)
-			return this.readLendAnswer(reply.text)
+			this.backoffUntil.delete(address)
+			return this.parseLendResponse(reply.text)
 		} catch {
 			// Tokens of a lost answer stay counted as spent at the lender: nobody can spend them.
 			// A box that was busy itself for longer than the wait says nothing about the other.
-			if (this.now() - began < ASK_MS + OWN_LAG_MS)
-				this.avoidedUntil.set(address, this.now() + AVOID_MS)
+			if (this.now() - began < LEND_TIMEOUT_MS + LOCAL_DELAY_TOLERANCE_MS)
+				this.backoffUntil.set(address, this.now() + BACKOFF_MS)
 			return EMPTY_LEND_RESPONSE
 		}
 	}
 
-	async changes(
+	async fetchChanges(
 		address: string,
 		prefix: string,
 		after: StoreRevision,
@@ -83,9 +87,9 @@
 			waitMs: String(waitMs),
 		}
 		const path = `${CHANGES_PATH}?${new URLSearchParams(fields)}`
-		const timeoutMs = waitMs + CHANGES_GRACE_MS
+		const timeoutMs = waitMs + CHANGES_TIMEOUT_MARGIN_MS
 		try {
-			const caller = callerOf(this.changesCallers, address, CHANGES_CONNECTIONS)
+			const caller = getOrCreateClient(this.changesClients, address, MAX_CHANGES_CONNECTIONS)
 			const reply = await caller.send({ method: 'GET', path, timeoutMs })
 			return reply.status === 200 ? decodeFeedResponse(reply.text, after.era) : undefined
 		} catch {
@@ -94,11 +98,11 @@
 	}
 
 	async sendDraws(address: string, told: ReplicatedDraws): Promise<boolean> {
-		return (await this.statusOf(address, 'POST', DRAWS_PATH, told)) === 200
+		return (await this.requestStatus(address, 'POST', DRAWS_PATH, told)) === 200
 	}
 
 	async isReachable(address: string): Promise<boolean> {
-		return (await this.statusOf(address, 'GET', OPEN_PATH)) === 200
+		return (await this.requestStatus(address, 'GET', OPEN_PATH)) === 200
 	}
 
 	async transferTokens(
@@ -112,33 +116,35 @@
 			tokens: String(tokens),
 			budgetsVersion: String(budgetsVersion),
 		})
-		return (await this.statusOf(address, 'POST', `${ACCEPT_PATH}?${query}`)) === 200
+		return (await this.requestStatus(address, 'POST', `${ACCEPT_PATH}?${query}`)) === 200
 	}
 
 	/** Status of the answer; undefined without one. */
-	private async statusOf(
+	private async requestStatus(
 		address: string,
 		method: 'GET' | 'POST',
 		path: string,
 		body?: unknown,
 	): Promise<number | undefined> {
 		try {
-			return (await this.caller(address).send({ method, path, body, timeoutMs: STATUS_MS })).status
+			return (
+				await this.clientFor(address).send({ method, path, body, timeoutMs: STATUS_TIMEOUT_MS })
+			).status
 		} catch {
 			return undefined
 		}
 	}
 
-	private isAvoided(address: string): boolean {
-		return (this.avoidedUntil.get(address) ?? 0) > this.now()
+	private isBackingOff(address: string): boolean {
+		return (this.backoffUntil.get(address) ?? 0) > this.now()
 	}
 
-	private caller(address: string): HttpClient {
-		return callerOf(this.callers, address, CONNECTIONS)
+	private clientFor(address: string): HttpClient {
+		return getOrCreateClient(this.clients, address, MAX_CONNECTIONS)
 	}
 
 	/** @throws where the text is no JSON document. */
-	private readLendAnswer(text: string): LendResponse {
+	private parseLendResponse(text: string): LendResponse {
 		const body = JSON.parse(text) as Partial<Record<keyof LendResponse | 'work', unknown>>
 		const work = fromWireWork(body.work)
 		if (work) this.onFleetWork(work)
@@ -146,12 +152,12 @@
 		const budgetsVersion = typeof body.budgetsVersion === 'number' ? body.budgetsVersion : 0
 		const left = typeof body.left === 'number' ? body.left : Number.POSITIVE_INFINITY
 		const free = typeof body.free === 'number' ? body.free : 0
-		return { lent, left, free, budgetsVersion, nearlySpent: readNearlySpent(body.nearlySpent) }
+		return { lent, left, free, budgetsVersion, nearlySpent: parseNearlySpent(body.nearlySpent) }
 	}
 }
 
 /** Rows of an account and what may be left of it; empty where the document is no such list. */
-function readNearlySpent(rows: unknown): readonly RemainingBudget[] {
+function parseNearlySpent(rows: unknown): readonly RemainingBudget[] {
 	if (!Array.isArray(rows)) return []
 	return (rows as readonly (readonly [AccountName, number])[]).map(([account, left]) => ({
 		account,
@@ -160,7 +166,7 @@
 }
 
 /** The caller of an address, made at the first call. */
-function callerOf(
+function getOrCreateClient(
 	callers: Map<string, HttpClient>,
 	address: string,
 	connections: number,
--- a/packages/gateway/src/lib/PeerServer.ts
+++ b/packages/gateway/src/lib/PeerServer.ts
@@ -28,13 +28,13 @@
 	/** Work at targets of all boxes but one, to go with an answer to that one. */
 	fleetWork(asker: BoxName): readonly TargetWork[]
 	/** Takes tokens over that were held under the configuration of a revision; false where this box can't. */
-	accept(account: AccountName, tokens: number, budgetsVersion: number): boolean
+	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean
 	/** Takes what another box has drawn; false where that is of a history that is over. */
-	remember(told: ReplicatedDraws): boolean
+	storeDraws(told: ReplicatedDraws): boolean
 	/** Whether this box would take tokens over. */
-	isOpen(): boolean
+	canAcceptTokens(): boolean
 	/** Changes below a prefix after a revision, as soon as there are any. */
-	changes(prefix: string, after: RequestedRevision, waitMs: number): Promise<FeedResponse>
+	waitForChanges(prefix: string, after: RequestedRevision, waitMs: number): Promise<FeedResponse>
 }
 
 /** Serves the other boxes. Callers do not reach it. */
@@ -70,7 +70,7 @@
 			response.writeHead(400).end()
 			return
 		}
-		const answer = await this.handlers.changes(prefix, after, waitMs)
+		const answer = await this.handlers.waitForChanges(prefix, after, waitMs)
 		sendJson(response, 200, encodeFeedResponse(answer))
 	}
 
@@ -94,19 +94,20 @@
 	private accept(account: AccountName, tokens: number, url: URL): boolean {
 		const budgetsVersion = Number(url.searchParams.get('budgetsVersion'))
 		return (
-			Number.isSafeInteger(budgetsVersion) && this.handlers.accept(account, tokens, budgetsVersion)
+			Number.isSafeInteger(budgetsVersion) &&
+			this.handlers.acceptTokens(account, tokens, budgetsVersion)
 		)
 	}
 
 	private async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
 		const url = new URL(message.url ?? '/', 'http://box')
 		if (url.pathname === OPEN_PATH) {
-			response.writeHead(this.handlers.isOpen() ? 200 : 503).end()
+			response.writeHead(this.handlers.canAcceptTokens() ? 200 : 503).end()
 			return
 		}
 		if (url.pathname === DRAWS_PATH) {
 			const told = await readReplicatedDraws(message)
-			response.writeHead(told && this.handlers.remember(told) ? 200 : 503).end()
+			response.writeHead(told && this.handlers.storeDraws(told) ? 200 : 503).end()
 			return
 		}
 		if (url.pathname === CHANGES_PATH) {
--- a/packages/gateway/src/lib/PeerSharing.ts
+++ b/packages/gateway/src/lib/PeerSharing.ts
@@ -3,7 +3,7 @@
 import { CrashProtection } from './CrashProtection.js'
 import type { FleetMembership } from './FleetMembership.js'
 import type { GatewayOptions } from './GatewayOptions.js'
-import { LeavingSharing } from './LeavingSharing.js'
+import { LeavingTargetSharing } from './LeavingTargetSharing.js'
 import type { ListenAddress } from './listenOn.js'
 import { PeerDatagrams } from './PeerDatagrams.js'
 import { RateSharing } from './RateSharing.js'
@@ -21,17 +21,17 @@
 
 /** All that boxes tell each other by datagram: work at targets, requests that end targets, targets that leave or name rates. */
 export class PeerSharing {
-	readonly crashes: CrashProtection
-	readonly leaving: LeavingSharing
-	readonly rates: RateSharing
-	readonly work: WorkSharing
+	readonly crashProtection: CrashProtection
+	readonly leavingSharing: LeavingTargetSharing
+	readonly rateSharing: RateSharing
+	readonly workSharing: WorkSharing
 	private readonly datagrams = new PeerDatagrams()
 	private readonly address: ListenAddress
 
 	constructor({ registry: board, gateway, pools, membership: roster, store }: PeerSharingOptions) {
 		const { datagrams } = this
 		this.address = gateway.listen.peers
-		this.work = new WorkSharing({
+		this.workSharing = new WorkSharing({
 			datagrams,
 			box: gateway.box,
 			registry: board,
@@ -39,7 +39,7 @@
 			isHub: () => roster.isLarge && roster.isLender,
 			now: gateway.now,
 		})
-		this.crashes = new CrashProtection({
+		this.crashProtection = new CrashProtection({
 			...gateway,
 			store,
 			key: gateway.storeLayout.quarantineKey,
@@ -48,14 +48,14 @@
 			datagrams,
 			peers: () => roster.otherAddresses,
 		})
-		this.leaving = new LeavingSharing({
+		this.leavingSharing = new LeavingTargetSharing({
 			...gateway,
 			registry: board,
 			datagrams,
 			peers: () => roster.otherAddresses,
-			onHeard: ({ name }) => pools.closeIdle(name),
+			onTargetLeaving: ({ name }) => pools.closeIdle(name),
 		})
-		this.rates = new RateSharing({
+		this.rateSharing = new RateSharing({
 			...gateway,
 			registry: board,
 			datagrams,
@@ -65,15 +65,15 @@
 
 	async start(): Promise<void> {
 		await this.datagrams.start(this.address)
-		this.work.start()
-		this.crashes.start()
+		this.workSharing.start()
+		this.crashProtection.start()
 	}
 
 	stop(): void {
-		this.work.stop()
-		this.crashes.stop()
-		this.leaving.stop()
-		this.rates.stop()
+		this.workSharing.stop()
+		this.crashProtection.stop()
+		this.leavingSharing.stop()
+		this.rateSharing.stop()
 		this.datagrams.stop()
 	}
 }
--- a/packages/gateway/src/lib/PrefixFollower.test.ts
+++ b/packages/gateway/src/lib/PrefixFollower.test.ts
@@ -1,10 +1,10 @@
-import { MemoryStore, type CallFate } from '@stallwing/standins'
+import { MemoryStore, type CallOutcome } from '@stallwing/standins'
 import { PrefixFollower, type StoreItem } from '@stallwing/store'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { sleep } from './sleep.js'
 
 describe('PrefixFollower', () => {
-	let fate: CallFate
+	let fate: CallOutcome
 	let store: MemoryStore
 	let received: Record<string, string>
 	let contacts: string[]
@@ -15,7 +15,7 @@
 		fate = 'served'
 		received = {}
 		contacts = []
-		store = new MemoryStore({ now: () => Date.now(), sleep, fate: () => fate })
+		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => fate })
 		follower = new PrefixFollower(store.connect('box'), {
 			prefix: 'targets/',
 			waitMs: 1_000,
--- a/packages/gateway/src/lib/QuarantineSharing.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.ts
@@ -1,6 +1,6 @@
 import type { CrashRecord, RequestQuarantine } from '@stallwing/core'
 import type { PeerDatagrams } from './PeerDatagrams.js'
-import { decodeCrashes, encodeCrashes } from './quarantineCodec.js'
+import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
 /** What a {@link QuarantineSharing} works with. */
 export interface QuarantineSharingOptions {
@@ -9,24 +9,24 @@
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
 	/** Other boxes told something new. */
-	readonly onHeard: (records: readonly CrashRecord[]) => void
+	readonly onRecordsReceived: (records: readonly CrashRecord[]) => void
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	readonly random: () => number
 }
 
 /** Time over which news are gathered before they are told to all, in ms: a target ends with all its requests. */
-const GATHER_MS = 20
+const BATCH_WINDOW_MS = 20
 /** Time between two reminders, in ms. */
-const REMIND_MS = 500
+const GOSSIP_INTERVAL_MS = 500
 /** Boxes that are reminded each time: what a datagram did not bring reaches a fleet of 500 in 4 or 5 rounds. */
-const REMINDED = 3
+const GOSSIP_FANOUT = 3
 /** Age up to which boxes are reminded of what is known of a request, in ms: a caller that comes back has by then. */
-const REMIND_FOR_MS = 120_000
+const MAX_GOSSIP_AGE_MS = 120_000
 /** Records of one datagram: about 1,200 bytes, which links pass whole. */
-const RECORDS_PER_DATAGRAM = 4
+const MAX_RECORDS_PER_DATAGRAM = 4
 /** Records of one reminder or one piece of news; where there are more, a random part. */
-const MOST_TOLD = 40
+const MAX_RECORDS_PER_SEND = 40
 
 /**
  * Tells other boxes which requests end targets, and hears it from them. News go to all boxes at once, by datagram:
@@ -35,43 +35,43 @@
  * minutes; one that was reminded of what has been cleared since tells so. On a calm day nothing is sent.
  */
 export class QuarantineSharing {
-	private news = new Map<string, CrashRecord>()
-	private gathering: NodeJS.Timeout | undefined
-	private timer: NodeJS.Timeout | undefined
+	private pending = new Map<string, CrashRecord>()
+	private batchTimer: NodeJS.Timeout | undefined
+	private gossipTimer: NodeJS.Timeout | undefined
 
 	constructor(private readonly options: QuarantineSharingOptions) {
 		options.datagrams.onMessage((bytes) => this.receive(bytes))
 	}
 
 	start(): void {
-		this.timer = setInterval(() => this.remind(), REMIND_MS)
+		this.gossipTimer = setInterval(() => this.gossip(), GOSSIP_INTERVAL_MS)
 	}
 
 	stop(): void {
-		clearInterval(this.timer)
-		clearTimeout(this.gathering)
+		clearInterval(this.gossipTimer)
+		clearTimeout(this.batchTimer)
 	}
 
 	/** Tells all boxes about a record of this one. */
-	tell(record: CrashRecord): void {
-		this.news.set(record.fingerprint, record)
-		this.gathering ??= setTimeout(() => this.tellNews(), GATHER_MS)
+	share(record: CrashRecord): void {
+		this.pending.set(record.fingerprint, record)
+		this.batchTimer ??= setTimeout(() => this.sendPending(), BATCH_WINDOW_MS)
 	}
 
-	private tellNews(): void {
-		this.gathering = undefined
-		const records = [...this.news.values()]
-		this.news = new Map()
+	private sendPending(): void {
+		this.batchTimer = undefined
+		const records = [...this.pending.values()]
+		this.pending = new Map()
 		this.send(records, this.options.peers())
 	}
 
-	private remind(): void {
+	private gossip(): void {
 		const { now, peers, quarantine, random } = this.options
-		const newest = now() - REMIND_FOR_MS
+		const newest = now() - MAX_GOSSIP_AGE_MS
 		const records = quarantine.restricted.filter((record) => record.changedAt >= newest)
 		if (records.length === 0) return
 		const all = peers()
-		const some = Array.from({ length: REMINDED }, () => all[Math.floor(random() * all.length)])
+		const some = Array.from({ length: GOSSIP_FANOUT }, () => all[Math.floor(random() * all.length)])
 		this.send(
 			records,
 			some.filter((peer) => peer !== undefined),
@@ -80,19 +80,21 @@
 
 	private send(records: readonly CrashRecord[], peers: readonly string[]): void {
 		const { datagrams, now, random } = this.options
-		const first = Math.floor(random() * Math.max(1, records.length - MOST_TOLD + 1))
-		const told = records.slice(first, first + MOST_TOLD)
-		for (let i = 0; i < told.length; i += RECORDS_PER_DATAGRAM) {
-			const bytes = Buffer.from(encodeCrashes(told.slice(i, i + RECORDS_PER_DATAGRAM), now()))
+		const first = Math.floor(random() * Math.max(1, records.length - MAX_RECORDS_PER_SEND + 1))
+		const told = records.slice(first, first + MAX_RECORDS_PER_SEND)
+		for (let i = 0; i < told.length; i += MAX_RECORDS_PER_DATAGRAM) {
+			const bytes = Buffer.from(
+				encodeCrashRecords(told.slice(i, i + MAX_RECORDS_PER_DATAGRAM), now()),
+			)
 			for (const peer of peers) datagrams.send(bytes, peer)
 		}
 	}
 
 	private receive(bytes: Buffer): boolean {
-		const { now, onHeard, quarantine } = this.options
-		const records = decodeCrashes(bytes, now())
+		const { now, onRecordsReceived: onHeard, quarantine } = this.options
+		const records = decodeCrashRecords(bytes, now())
 		if (!records) return false
-		for (const record of quarantine.newerRecords(records)) this.tell(record)
+		for (const record of quarantine.newerRecords(records)) this.share(record)
 		const changed = quarantine.merge(records)
 		if (changed.length > 0) onHeard(changed)
 		return true
--- a/packages/gateway/src/lib/QuarantineStore.ts
+++ b/packages/gateway/src/lib/QuarantineStore.ts
@@ -9,7 +9,7 @@
 } from '@stallwing/core'
 import type { KeyValueStore, StoreItem } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
-import { decodeCrashes, encodeCrashes } from './quarantineCodec.js'
+import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
 /** What a {@link QuarantineStore} works with. */
 export interface QuarantineStoreOptions {
@@ -18,7 +18,7 @@
 	readonly key: string
 	readonly quarantine: RequestQuarantine
 	/** The store told something new. */
-	readonly onHeard: (records: readonly CrashRecord[]) => void
+	readonly onRecordsReceived: (records: readonly CrashRecord[]) => void
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	/** Time of day, in ms. */
@@ -33,7 +33,7 @@
 }
 
 /** Tries of one write: boxes that meet read what the other wrote. */
-const TRIES = 3
+const MAX_WRITE_ATTEMPTS = 3
 
 /**
  * Keeps quarantined requests in the store, so that they outlast a loss of power of all boxes. It is written when a
@@ -44,7 +44,7 @@
 	/** Undefined where the record is absent. */
 	private revision: StoreRevision | undefined
 	/** What the store holds, as far as this box knows. */
-	private stored: readonly CrashRecord[] = []
+	private storedRecords: readonly CrashRecord[] = []
 	private isWriting = false
 	/** Era of the store in which it held that. */
 	private era = 0
@@ -52,11 +52,11 @@
 	constructor(private readonly options: QuarantineStoreOptions) {}
 
 	/** Takes the record of the fleet; undefined where there is none. */
-	adopt(item: StoreItem | undefined): void {
-		this.forgetLost()
+	applyStored(item: StoreItem | undefined): void {
+		this.resetOnNewEra()
 		if (!item || !isNewerRevision(item.revision, this.revision ?? NO_REVISION)) return
 		this.revision = item.revision
-		const { log, onHeard, quarantine } = this.options
+		const { log, onRecordsReceived: onHeard, quarantine } = this.options
 		const told = this.decode(item)
 		if (!told) {
 			log({
@@ -65,7 +65,7 @@
 			})
 			return
 		}
-		this.stored = told
+		this.storedRecords = told
 		const changed = quarantine.merge(told)
 		if (changed.length > 0) onHeard(changed)
 	}
@@ -73,26 +73,26 @@
 	/** Writes what the store lacks. To be called after each change, and now and then for writes that failed. */
 	async save(): Promise<void> {
 		if (this.isWriting) return
-		this.forgetLost()
+		this.resetOnNewEra()
 		this.isWriting = true
-		for (let tries = 0; tries < TRIES && this.lacking.length > 0; tries++) {
+		for (let tries = 0; tries < MAX_WRITE_ATTEMPTS && this.unsavedRecords.length > 0; tries++) {
 			if (await this.write()) break
 		}
 		this.isWriting = false
 	}
 
 	/** A store that came back from a copy may lack what it held: this box writes what it knows again. */
-	private forgetLost(): void {
+	private resetOnNewEra(): void {
 		const { era } = this.options.store
 		if (era === this.era) return
 		this.era = era
-		this.stored = []
+		this.storedRecords = []
 		this.revision = undefined
 	}
 
 	/** Records of this box that say more than those of the store. */
-	private get lacking(): readonly CrashRecord[] {
-		const known = new Map(this.stored.map((record) => [record.fingerprint, record]))
+	private get unsavedRecords(): readonly CrashRecord[] {
+		const known = new Map(this.storedRecords.map((record) => [record.fingerprint, record]))
 		return this.options.quarantine.all.filter((record) => {
 			const before = known.get(record.fingerprint)
 			if (!before) return record.isQuarantined
@@ -105,13 +105,13 @@
 	/** False where another box wrote meanwhile. */
 	private async write(): Promise<boolean> {
 		const { key, log, now, quarantine, store, wallTime } = this.options
-		const names = new Set(this.stored.map((record) => record.fingerprint))
+		const names = new Set(this.storedRecords.map((record) => record.fingerprint))
 		const records = quarantine.all.filter(
 			(record) => record.isQuarantined || names.has(record.fingerprint),
 		)
 		const document: StoredQuarantine = {
 			writtenAt: wallTime(),
-			told: encodeCrashes(records, now()),
+			told: encodeCrashRecords(records, now()),
 		}
 		const result = await store.write(key, Buffer.from(JSON.stringify(document)), this.revision)
 		if (E.isLeft(result)) {
@@ -120,12 +120,12 @@
 		}
 		if (result.right.kind === 'conflict') {
 			const { current } = result.right
-			if (current) this.adopt(current)
+			if (current) this.applyStored(current)
 			else this.revision = undefined
 			return false
 		}
 		this.revision = result.right.revision
-		this.stored = records
+		this.storedRecords = records
 		return true
 	}
 
@@ -135,7 +135,7 @@
 			if (typeof document?.told !== 'string' || typeof document.writtenAt !== 'number')
 				return undefined
 			const ageMs = Math.max(0, this.options.wallTime() - document.writtenAt)
-			return decodeCrashes(Buffer.from(document.told), this.options.now() - ageMs)
+			return decodeCrashRecords(Buffer.from(document.told), this.options.now() - ageMs)
 		} catch {
 			return undefined
 		}
--- a/packages/gateway/src/lib/RateSharing.test.ts
+++ b/packages/gateway/src/lib/RateSharing.test.ts
@@ -7,11 +7,11 @@
 const RATE = 1.4
 const WINDOW_MS = 4_000
 /** What a target in need bears in the window: half as much again as it names, and five requests. */
-const MOST_IN_A_WINDOW = 13
+const MAX_REQUESTS_IN_WINDOW = 13
 const STEP_MS = 20
 
 /** A request comes to one box after the other, so many in a second at each. */
-function play(fleet: RateFleet, boxes: number, forMs: number, perBox: number): void {
+function simulate(fleet: RateFleet, boxes: number, forMs: number, perBox: number): void {
 	let owed = 0
 	let next = 0
 	for (let spent = 0; spent < forMs; spent += STEP_MS) {
@@ -40,19 +40,19 @@
 				advertisedRate: () => named,
 				areConnected: () => areInTouch,
 			})
-			play(fleet, boxes, WINDOW_MS, 4)
+			simulate(fleet, boxes, WINDOW_MS, 4)
 			return fleet.requests.length
 		}
 		expect(askAll(false)).toBeGreaterThanOrEqual(boxes)
 		// What is under way when the first answer tells, and what the target named.
 		const underWay = boxes * 4 * 0.1
-		expect(askAll(true)).toBeLessThanOrEqual(underWay + MOST_IN_A_WINDOW)
+		expect(askAll(true)).toBeLessThanOrEqual(underWay + MAX_REQUESTS_IN_WINDOW)
 	})
 
 	it.each([7, 75, 499])('keeps all of %i boxes to the rate, and uses most of it', (boxes) => {
 		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
-		play(fleet, boxes, 20_000, 4)
-		expect(fleet.maxRequestsIn(WINDOW_MS, 1_000)).toBeLessThanOrEqual(MOST_IN_A_WINDOW)
+		simulate(fleet, boxes, 20_000, 4)
+		expect(fleet.maxRequestsIn(WINDOW_MS, 1_000)).toBeLessThanOrEqual(MAX_REQUESTS_IN_WINDOW)
 		const later = fleet.requests.filter(({ at }) => at > 4_000).length
 		expect(later).toBeGreaterThan(0.7 * RATE * 16)
 		expect(later).toBeLessThanOrEqual(RATE * 16 + 6)
@@ -60,22 +60,22 @@
 
 	it.each([7, 75, 499])('tells %i boxes when the target names none any more', (boxes) => {
 		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
-		play(fleet, boxes, 6_000, 4)
+		simulate(fleet, boxes, 6_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(0)
 		named = undefined
-		play(fleet, boxes, 1_500, 4)
+		simulate(fleet, boxes, 1_500, 4)
 		expect(fleet.unlimitedBoxCount).toBe(boxes)
 	})
 
 	it.each([0, 0.25, 50])('follows a target that names %d instead, and its end', (other) => {
 		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
-		play(fleet, 7, 5_000, 4)
+		simulate(fleet, 7, 5_000, 4)
 		named = other
-		play(fleet, 7, 12_000, 4)
+		simulate(fleet, 7, 12_000, 4)
 		const since = fleet.requests.filter(({ at }) => at > 9_000 && at <= 17_000).length
 		expect(since).toBeLessThanOrEqual(other * 8 + 6)
 		named = undefined
-		play(fleet, 7, 15_000, 4)
+		simulate(fleet, 7, 15_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(7)
 	})
 
@@ -86,30 +86,30 @@
 			advertisedRate: () => named,
 			areConnected: () => !isApart,
 		})
-		play(fleet, 75, 6_000, 4)
+		simulate(fleet, 75, 6_000, 4)
 		isApart = true
-		play(fleet, 75, 3_000, 4)
+		simulate(fleet, 75, 3_000, 4)
 		const before = fleet.requests.length
-		play(fleet, 75, 20_000, 4)
+		simulate(fleet, 75, 20_000, 4)
 		// Each box tries one request in 5 to 10 s, as long as no box hears another.
 		expect(fleet.requests.length - before).toBeLessThan(75 * 4 + RATE * 20)
 		named = undefined
-		play(fleet, 75, 11_000, 4)
+		simulate(fleet, 75, 11_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(75)
 	})
 
 	it('says nothing where no target names a rate', () => {
 		named = undefined
 		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
-		play(fleet, 7, 5_000, 4)
+		simulate(fleet, 7, 5_000, 4)
 		expect([fleet.datagramCount, fleet.logEvents.length]).toEqual([0, 0])
 	})
 
 	it('says a rate that stays the same some times in 10 s, with one line at each box', () => {
 		fleet = new RateFleet({ boxCount: 499, advertisedRate: () => named })
-		play(fleet, 499, 2_000, 1)
+		simulate(fleet, 499, 2_000, 1)
 		const [datagrams, bytes] = [fleet.datagramCount, fleet.byteCount]
-		play(fleet, 499, 10_000, 1)
+		simulate(fleet, 499, 10_000, 1)
 		expect(fleet.datagramCount - datagrams).toBeLessThanOrEqual(6 * 498)
 		expect((fleet.byteCount - bytes) / 10).toBeLessThan(20_000)
 		expect(fleet.logEvents.length).toBeLessThanOrEqual(499)
@@ -121,13 +121,13 @@
 
 	it('come back as they were sent, with times of the box that hears them', () => {
 		const words = [
-			{ name, bornAt: TARGET.bornAt, perSecond: 1.3, saidAt: 90 },
-			{ name, bornAt: undefined, perSecond: undefined, saidAt: 100 },
+			{ name, bornAt: TARGET.bornAt, perSecond: 1.3, reportedAt: 90 },
+			{ name, bornAt: undefined, perSecond: undefined, reportedAt: 100 },
 		]
 		const heard = decodeRates(Buffer.from(encodeRates(words, 100)), 5_000)
 		expect(heard).toEqual([
-			{ ...words[0], saidAt: 4_990 },
-			{ ...words[1], saidAt: 5_000 },
+			{ ...words[0], reportedAt: 4_990 },
+			{ ...words[1], reportedAt: 5_000 },
 		])
 	})
 
--- a/packages/gateway/src/lib/RateSharing.ts
+++ b/packages/gateway/src/lib/RateSharing.ts
@@ -7,7 +7,7 @@
 } from '@stallwing/core'
 import type { Metrics } from '@stallwing/telemetry'
 import type { PeerDatagrams } from './PeerDatagrams.js'
-import { decodeRates, encodeRates, type RateWord } from './rateCodec.js'
+import { decodeRates, encodeRates, type RateReport } from './rateCodec.js'
 
 /** What a {@link RateSharing} works with. */
 export interface RateSharingOptions {
@@ -22,17 +22,17 @@
 }
 
 /** Time in which words are gathered into one datagram, in ms. */
-const GATHER_MS = 5
+const BATCH_WINDOW_MS = 5
 /**
  * Time after which a rate that holds is told again, by the first box that hears of it anew, in ms: a box that may not
  * send hears of it by no other way. With 499 boxes that is 15 KB a second for each target that names a rate, all
  * boxes together.
  */
-const AGAIN_MS = 2_000
+const RESEND_INTERVAL_MS = 2_000
 /** Rates of one datagram: about 1,000 bytes, which links pass whole. */
-const RATES_PER_DATAGRAM = 15
+const MAX_RATES_PER_DATAGRAM = 15
 /** Lives of targets of which it is known when they were last told; the oldest give way. */
-const MOST_TOLD = 5_000
+const MAX_TRACKED_INCARNATIONS = 5_000
 
 /**
  * Tells other boxes what targets say of the requests a second that they take from all boxes together. Told at once,
@@ -41,44 +41,49 @@
  * target said to this box are told. On a calm day nothing is sent.
  */
 export class RateSharing {
-	private news: RateWord[] = []
-	private waiting: NodeJS.Timeout | undefined
+	private pending: RateReport[] = []
+	private sendTimer: NodeJS.Timeout | undefined
 	/** When each rate that holds was last told, by this box or another. */
-	private readonly toldAt = new Map<TargetIncarnation, number>()
+	private readonly lastSharedAt = new Map<TargetIncarnation, number>()
 
 	constructor(private readonly options: RateSharingOptions) {
 		options.datagrams.onMessage((bytes) => this.receive(bytes))
 	}
 
 	stop(): void {
-		clearTimeout(this.waiting)
+		clearTimeout(this.sendTimer)
 	}
 
 	/** A target told this box its rate, or the end of it (undefined); `isNews`: another than was known. */
-	note(target: TargetIdentity, perSecond: number | undefined, isNews: boolean): void {
+	share(target: TargetIdentity, perSecond: number | undefined, isNews: boolean): void {
 		const now = this.options.now()
 		const life = incarnationOf(target)
-		if (!isNews && now - (this.toldAt.get(life) ?? Number.NEGATIVE_INFINITY) < AGAIN_MS) return
-		this.noteTold(life, perSecond, now)
-		this.news.push({ name: target.name, bornAt: target.bornAt, perSecond, saidAt: now })
-		this.waiting ??= setTimeout(() => this.tellNews(), GATHER_MS)
+		if (
+			!isNews &&
+			now - (this.lastSharedAt.get(life) ?? Number.NEGATIVE_INFINITY) < RESEND_INTERVAL_MS
+		)
+			return
+		this.noteShared(life, perSecond, now)
+		this.pending.push({ name: target.name, bornAt: target.bornAt, perSecond, reportedAt: now })
+		this.sendTimer ??= setTimeout(() => this.sendPending(), BATCH_WINDOW_MS)
 	}
 
-	private noteTold(life: TargetIncarnation, perSecond: number | undefined, now: number): void {
-		this.toldAt.delete(life)
+	private noteShared(life: TargetIncarnation, perSecond: number | undefined, now: number): void {
+		this.lastSharedAt.delete(life)
 		if (perSecond === undefined) return
-		this.toldAt.set(life, now)
-		const [oldest] = this.toldAt.keys()
-		if (oldest !== undefined && this.toldAt.size > MOST_TOLD) this.toldAt.delete(oldest)
+		this.lastSharedAt.set(life, now)
+		const [oldest] = this.lastSharedAt.keys()
+		if (oldest !== undefined && this.lastSharedAt.size > MAX_TRACKED_INCARNATIONS)
+			this.lastSharedAt.delete(oldest)
 	}
 
-	private tellNews(): void {
+	private sendPending(): void {
 		const { datagrams, now, peers } = this.options
-		this.waiting = undefined
-		const { news } = this
-		this.news = []
-		for (let i = 0; i < news.length; i += RATES_PER_DATAGRAM) {
-			const bytes = Buffer.from(encodeRates(news.slice(i, i + RATES_PER_DATAGRAM), now()))
+		this.sendTimer = undefined
+		const { pending: news } = this
+		this.pending = []
+		for (let i = 0; i < news.length; i += MAX_RATES_PER_DATAGRAM) {
+			const bytes = Buffer.from(encodeRates(news.slice(i, i + MAX_RATES_PER_DATAGRAM), now()))
 			for (const peer of peers()) datagrams.send(bytes, peer)
 		}
 	}
@@ -86,14 +91,14 @@
 	private receive(bytes: Buffer): boolean {
 		const words = decodeRates(bytes, this.options.now())
 		if (!words) return false
-		for (const word of words) this.hear(word)
+		for (const word of words) this.applyReceived(word)
 		return true
 	}
 
-	private hear(word: RateWord): void {
+	private applyReceived(word: RateReport): void {
 		const { registry: board, log, metrics, now } = this.options
-		const { perSecond, saidAt } = word
-		this.noteTold(incarnationOf(word), perSecond, now())
+		const { perSecond, reportedAt: saidAt } = word
+		this.noteShared(incarnationOf(word), perSecond, now())
 		if (!board.noteRate(word, perSecond, saidAt)) return
 		metrics.count('stallwing_target_notices_total', 'event="target-heard-rate"')
 		const fields = {
--- a/packages/gateway/src/lib/StoreLayout.ts
+++ b/packages/gateway/src/lib/StoreLayout.ts
@@ -11,7 +11,7 @@
 	readonly targetsPrefix: string
 	readonly allowanceKey: string
 	/** Prefix of one record of token spending for each box. */
-	readonly markPrefix: string
+	readonly spendingLimitPrefix: string
 	/** Prefix of one item for each box of the fleet. */
 	readonly boxPrefix: string
 	/** Common prefix of `boxPrefix` and `quarantineKey`, so that a single listing returns both. */
--- a/packages/gateway/src/lib/TargetDirectory.ts
+++ b/packages/gateway/src/lib/TargetDirectory.ts
@@ -66,7 +66,7 @@
 
 	/** Number of targets that are used although the store no longer lists them. */
 	get lapsedCount(): number {
-		return this.expired.lapsed.length
+		return this.expired.expired.length
 	}
 
 	/** Number of entries that cannot be read. */
@@ -121,7 +121,7 @@
 	maintain(): void {
 		const now = this.options.suspendAwareNow()
 		if (this.restored.isDue(now)) this.applyListedEntries()
-		else if (this.expired.lapsed.length > 0) this.updateRegistry(this.expired.refresh(now))
+		else if (this.expired.expired.length > 0) this.updateRegistry(this.expired.refresh(now))
 	}
 
 	/** Updates the registry with the listed targets and those whose entries expired within the grace period. */
@@ -129,9 +129,9 @@
 		const now = this.options.suspendAwareNow()
 		const entries = this.restored.apply([...this.entries.values()], this.revision, now)
 		const unusable = [...this.unreadable.values()].flatMap(({ target }) => target ?? [])
-		const expiredBefore = new Set(this.expired.lapsed.map((entry) => entry.name))
+		const expiredBefore = new Set(this.expired.expired.map((entry) => entry.name))
 		this.updateRegistry(this.expired.update(entries, now, unusable))
-		const newlyExpired = this.expired.lapsed.filter((entry) => !expiredBefore.has(entry.name))
+		const newlyExpired = this.expired.expired.filter((entry) => !expiredBefore.has(entry.name))
 		this.logAll('target-lapsed', newlyExpired)
 	}
 
--- a/packages/gateway/src/lib/UnknownHeaders.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.ts
@@ -5,7 +5,7 @@
 
 /** Dependencies of {@link UnknownHeaders}. */
 export interface UnknownHeadersOptions {
-	readonly dialect: Pick<Dialect, 'headers' | 'ownHeader' | 'unreadHeaders'>
+	readonly dialect: Pick<Dialect, 'headers' | 'platformHeaderPattern' | 'ignoredHeaders'>
 	readonly metrics: Metrics
 	readonly log: (event: LogEvent) => void
 }
@@ -24,7 +24,7 @@
 	private readonly recordedNames = new Set<string>()
 
 	constructor(private readonly options: UnknownHeadersOptions) {
-		const { headers, unreadHeaders } = options.dialect
+		const { headers, ignoredHeaders: unreadHeaders } = options.dialect
 		this.knownNames = new Set([...headerNamesOf(headers), ...unreadHeaders])
 	}
 
@@ -52,7 +52,7 @@
 			this.recordedNames.size >= MAX_RECORDED_NAMES
 		)
 			return false
-		return this.options.dialect.ownHeader.test(name)
+		return this.options.dialect.platformHeaderPattern.test(name)
 	}
 }
 
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -14,11 +14,11 @@
 	readonly now: () => number
 }
 
-const TICK_MS = 25
+const SEND_INTERVAL_MS = 25
 /** Work that does not change is told again after this, in ms, for datagrams that were lost. */
-const REPEAT_MS = 200
+const RESEND_INTERVAL_MS = 200
 /** The sender under which work is kept that came with an answer of a hub. */
-const FLEET = brandId<BoxName>('(fleet)')
+const FLEET_SENDER = brandId<BoxName>('(fleet)')
 
 /**
  * Tells other boxes by datagram what this box has under way at each target, and takes their word in:
@@ -30,15 +30,15 @@
 export class WorkSharing {
 	private readonly hubs = new Set<BoxName>()
 	private timer: NodeJS.Timeout | undefined
-	private told = ''
-	private toldAt = Number.NEGATIVE_INFINITY
+	private lastMessage = ''
+	private lastSentAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly options: WorkSharingOptions) {
 		options.datagrams.onMessage((bytes) => this.receive(bytes))
 	}
 
 	start(): void {
-		this.timer = setInterval(() => this.tell(), TICK_MS)
+		this.timer = setInterval(() => this.sendWork(), SEND_INTERVAL_MS)
 	}
 
 	stop(): void {
@@ -48,30 +48,30 @@
 	/** Work of all boxes that this one knows of, but for the one that asks. */
 	fleetWork(asker: BoxName): TargetWork[] {
 		const { registry: board, now } = this.options
-		return board.openWork((box) => box !== asker && box !== FLEET, now())
+		return board.openWork((box) => box !== asker && box !== FLEET_SENDER, now())
 	}
 
 	/** Takes in what a hub knows of all other boxes. */
 	noteFleetWork(work: readonly TargetWork[]): void {
-		this.options.registry.notePeerWork(FLEET, work, this.options.now())
+		this.options.registry.notePeerWork(FLEET_SENDER, work, this.options.now())
 	}
 
-	private tell(): void {
+	private sendWork(): void {
 		const { box, registry: board, now, peers } = this.options
 		const isHub = this.options.isHub()
-		const work = board.openWork((other) => isHub && this.isOrdinary(other), now())
+		const work = board.openWork((other) => isHub && this.isNonHub(other), now())
 		const message = encodeWork({ box, isHub, work })
-		const isRepeat = message === this.told
-		if (isRepeat && (work.length === 0 || now() - this.toldAt < REPEAT_MS)) return
-		this.told = message
-		this.toldAt = now()
+		const isRepeat = message === this.lastMessage
+		if (isRepeat && (work.length === 0 || now() - this.lastSentAt < RESEND_INTERVAL_MS)) return
+		this.lastMessage = message
+		this.lastSentAt = now()
 		const bytes = Buffer.from(message)
 		for (const peer of peers()) this.options.datagrams.send(bytes, peer)
 	}
 
 	/** A box that tells its own work only, and only to this one. */
-	private isOrdinary(box: BoxName): boolean {
-		return box !== FLEET && !this.hubs.has(box)
+	private isNonHub(box: BoxName): boolean {
+		return box !== FLEET_SENDER && !this.hubs.has(box)
 	}
 
 	private receive(bytes: Buffer): boolean {
--- a/packages/gateway/src/lib/quarantineCodec.test.ts
+++ b/packages/gateway/src/lib/crashRecordCodec.test.ts
@@ -6,7 +6,7 @@
 } from '@stallwing/core'
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { decodeCrashes, encodeCrashes } from './quarantineCodec.js'
+import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
 /** Documents that are tried; by hand, many more. */
 const CASES = Number(process.env['FUZZ_CASES'] ?? 2_000)
@@ -15,7 +15,7 @@
 	fingerprint: brandId<RequestFingerprint>('0123456789abcdef0123456789abcdef'),
 	hint: 77,
 	generation: 1,
-	runs: [{ life: brandId<TargetIncarnation>('t-1@5'), beganAt: 900, endedAt: 960 }],
+	runs: [{ incarnation: brandId<TargetIncarnation>('t-1@5'), startedAt: 900, endedAt: 960 }],
 	isQuarantined: true,
 	hadSecondChance: false,
 	changedAt: 960,
@@ -25,20 +25,21 @@
 	it('reads what it wrote, on the clock of the reader', () => {
 		for (const hadSecondChance of [false, true]) {
 			const record = { ...RECORD, hadSecondChance }
-			const bytes = Buffer.from(encodeCrashes([record], 1_000))
-			expect(decodeCrashes(bytes, 1_000)).toEqual([record])
-			const [later] = decodeCrashes(bytes, 5_000) ?? []
+			const bytes = Buffer.from(encodeCrashRecords([record], 1_000))
+			expect(decodeCrashRecords(bytes, 1_000)).toEqual([record])
+			const [later] = decodeCrashRecords(bytes, 5_000) ?? []
 			expect(later?.changedAt).toBe(4_960)
-			expect(later?.runs[0]).toMatchObject({ beganAt: 4_900, endedAt: 4_960 })
+			expect(later?.runs[0]).toMatchObject({ startedAt: 4_900, endedAt: 4_960 })
 		}
 	})
 
 	it('leaves out rows that it can not read, and takes nothing else', () => {
-		const good = (JSON.parse(encodeCrashes([RECORD], 1_000)) as { crashes: unknown[] }).crashes[0]
+		const good = (JSON.parse(encodeCrashRecords([RECORD], 1_000)) as { crashes: unknown[] })
+			.crashes[0]
 		const bytes = Buffer.from(
 			JSON.stringify({ crashes: [null, 3, [], good, ['x', 1, 1, 1, 1, []]] }),
 		)
-		expect(decodeCrashes(bytes, 1_000)).toEqual([RECORD])
+		expect(decodeCrashRecords(bytes, 1_000)).toEqual([RECORD])
 		for (const text of [
 			'',
 			'null',
@@ -47,7 +48,7 @@
 			'{"crashes":3}',
 			'{"box":"b","hub":false,"work":[]}',
 		])
-			expect(decodeCrashes(Buffer.from(text), 1_000)).toBeUndefined()
+			expect(decodeCrashRecords(Buffer.from(text), 1_000)).toBeUndefined()
 	})
 
 	it('never throws, and never gives a record with a field that is none', () => {
@@ -59,7 +60,7 @@
 			}),
 		)
 		const property = fc.property(documents, (bytes) => {
-			return (decodeCrashes(bytes, 1_000) ?? []).every(
+			return (decodeCrashRecords(bytes, 1_000) ?? []).every(
 				(record) => Number.isFinite(record.changedAt) && Array.isArray(record.runs),
 			)
 		})
--- a/packages/gateway/src/lib/leavingCodec.ts
+++ b/packages/gateway/src/lib/leavingTargetCodec.ts
@@ -9,7 +9,7 @@
 }
 
 /** Targets that leave, as a text for other boxes. */
-export function encodeLeaving(targets: readonly TargetIdentity[]): string {
+export function encodeLeavingTargets(targets: readonly TargetIdentity[]): string {
 	const message: WireMessage = {
 		leaving: targets.map(({ name, bornAt }) => [name, bornAt ?? null]),
 	}
@@ -17,11 +17,11 @@
 }
 
 /** Undefined where the bytes are something else. Rows that can't be read are left out. */
-export function decodeLeaving(bytes: Buffer): readonly TargetIdentity[] | undefined {
-	return readDatagramRows(bytes, 'leaving')?.flatMap((row) => fromWire(row) ?? [])
+export function decodeLeavingTargets(bytes: Buffer): readonly TargetIdentity[] | undefined {
+	return readDatagramRows(bytes, 'leaving')?.flatMap((row) => decodeRow(row) ?? [])
 }
 
-function fromWire(row: unknown): TargetIdentity | undefined {
+function decodeRow(row: unknown): TargetIdentity | undefined {
 	if (!Array.isArray(row)) return undefined
 	const [name, bornAt] = row as unknown[]
 	if (typeof name !== 'string' || name === '') return undefined
--- a/packages/gateway/src/lib/reportRunEnd.ts
+++ b/packages/gateway/src/lib/reportRunEnd.ts
@@ -26,10 +26,10 @@
 	const { outcome, status, closedByTarget } = end
 	if (outcome.kind === 'answered' && status < MIN_FAILURE_STATUS) crashes.noteAnswered(content)
 	if (outcome.kind !== 'unknown') return
-	await crashes.noteBroken({
+	await crashes.noteBrokenRun({
 		identity: content,
 		target,
-		beganAt: startedAt,
-		wasClosed: closedByTarget,
+		startedAt: startedAt,
+		closedByTarget: closedByTarget,
 	})
 }
--- a/packages/gateway/src/lib/requestQuarantine.test.ts
+++ b/packages/gateway/src/lib/requestQuarantine.test.ts
@@ -13,16 +13,16 @@
 import { TEST_DIALECT, TestBox, trafficConfigOf, targetEntryOf } from './testBox.js'
 
 const FATAL = 'fatal'
-const BOXES = 4
-const TARGETS = 12
+const BOX_COUNT = 4
+const TARGET_COUNT = 12
 /** Runs of a request that prove that it ends its targets. */
-const PROVED = 3
+const CRASHES_UNTIL_QUARANTINE = 3
 /** Time after the third end from which boxes in touch must know of it, in ms. */
-const CONTACT_MS = 3_000
+const PROPAGATION_MS = 3_000
 /** Pause between two tries of the caller, in ms. */
-const RETRY_MS = 150
+const RETRY_DELAY_MS = 150
 /** For how long the caller comes back, in ms: the third end, the time in touch, and ten tries more. */
-const DAY_MS = 6_000
+const DURATION_MS = 6_000
 
 describe('a request that ends its targets', () => {
 	let fleet: CrashFleet
@@ -32,35 +32,35 @@
 	it.each(routes)('is refused by all boxes after three of them, on %s', async (route) => {
 		fleet = new CrashFleet()
 		await fleet.start()
-		const others = fleet.askOthers(route)
-		await fleet.askFatal(route)
+		const others = fleet.sendOtherRequests(route)
+		await fleet.sendFatalRequests(route)
 		const served = await others
-		expect(fleet.ends.length).toBeGreaterThanOrEqual(PROVED)
+		expect(fleet.crashTimes.length).toBeGreaterThanOrEqual(CRASHES_UNTIL_QUARANTINE)
 		// One that another box has already sent when the third target ends.
-		expect(fleet.ends.length).toBeLessThanOrEqual(PROVED + BOXES)
-		expect(fleet.endsInTouch).toBe(0)
+		expect(fleet.crashTimes.length).toBeLessThanOrEqual(CRASHES_UNTIL_QUARANTINE + BOX_COUNT)
+		expect(fleet.lateCrashCount).toBe(0)
 		expect(served.lateFailures).toBe(0)
 	})
 
 	it('is still refused when all boxes have started anew', async () => {
 		fleet = new CrashFleet()
 		await fleet.start()
-		await fleet.askFatal('/once/', 2_000)
-		const before = fleet.ends.length
+		await fleet.sendFatalRequests('/once/', 2_000)
+		const before = fleet.crashTimes.length
 		await fleet.restartBoxes()
-		await fleet.askFatal('/once/', 2_000)
-		expect(before).toBeGreaterThanOrEqual(PROVED)
-		expect(fleet.ends.length).toBe(before)
+		await fleet.sendFatalRequests('/once/', 2_000)
+		expect(before).toBeGreaterThanOrEqual(CRASHES_UNTIL_QUARANTINE)
+		expect(fleet.crashTimes.length).toBe(before)
 	})
 
 	it('runs again at all boxes once an operator released it', async () => {
 		fleet = new CrashFleet()
 		await fleet.start()
-		await fleet.askFatal('/once/', 2_000)
+		await fleet.sendFatalRequests('/once/', 2_000)
 		const [fingerprint = ''] = fleet.quarantined
 		expect(fleet.release('0'.repeat(32))).toBe(false)
 		expect(fleet.release(fingerprint)).toBe(true)
-		await sleep(RETRY_MS)
+		await sleep(RETRY_DELAY_MS)
 		expect(fleet.quarantined).toEqual([])
 	})
 })
@@ -73,7 +73,7 @@
 
 	async start(): Promise<void> {
 		this.store.put('config/now', JSON.stringify(trafficConfigOf(1)))
-		this.targets = Array.from({ length: TARGETS }, (_, i) => this.makeTarget(`t${i}`))
+		this.targets = Array.from({ length: TARGET_COUNT }, (_, i) => this.makeTarget(`t${i}`))
 		await Promise.all(this.targets.map((target) => target.start()))
 		await this.startBoxes()
 	}
@@ -85,7 +85,7 @@
 	}
 
 	private async startBoxes(): Promise<void> {
-		const ports = await Promise.all(Array.from({ length: BOXES }, freePort))
+		const ports = await Promise.all(Array.from({ length: BOX_COUNT }, freePort))
 		this.boxes = ports.map((port, i) => new TestBox(`box-${i}`, this.store, port))
 		await Promise.all(this.boxes.map((box) => box.start()))
 		await Promise.all(this.boxes.map((box) => box.waitUntilReady()))
@@ -109,41 +109,42 @@
 	}
 
 	/** Times at which targets ended, in order. */
-	get ends(): number[] {
-		return this.targets.flatMap((target) => target.endedAt).sort((a, b) => a - b)
+	get crashTimes(): number[] {
+		return this.targets.flatMap((target) => target.crashTimes).sort((a, b) => a - b)
 	}
 
 	/** Ends of targets at a time at which all boxes had to know. */
-	get endsInTouch(): number {
-		const proved = this.ends[PROVED - 1] ?? Infinity
-		return this.ends.filter((at) => at > proved + CONTACT_MS).length
+	get lateCrashCount(): number {
+		const proved = this.crashTimes[CRASHES_UNTIL_QUARANTINE - 1] ?? Infinity
+		return this.crashTimes.filter((at) => at > proved + PROPAGATION_MS).length
 	}
 
 	/** One caller that comes back to any box, whatever the answer. */
-	async askFatal(route: string, forMs = DAY_MS): Promise<void> {
+	async sendFatalRequests(route: string, forMs = DURATION_MS): Promise<void> {
 		const until = performance.now() + forMs
 		for (let i = 0; performance.now() < until; i++) {
-			void this.boxes[i % BOXES]?.sendRequest(`${route}x`, { id: `fatal-${i}`, body: FATAL })
-			await sleep(RETRY_MS)
+			void this.boxes[i % BOX_COUNT]?.sendRequest(`${route}x`, { id: `fatal-${i}`, body: FATAL })
+			await sleep(RETRY_DELAY_MS)
 		}
 	}
 
 	/** Other callers beside it; how many were not served although all boxes had to know. */
-	async askOthers(route: string): Promise<{ readonly lateFailures: number }> {
-		const until = performance.now() + DAY_MS
+	async sendOtherRequests(route: string): Promise<{ readonly lateFailures: number }> {
+		const until = performance.now() + DURATION_MS
 		let lateFailures = 0
 		for (let i = 0; performance.now() < until; i++) {
-			const box = this.boxes[(i * 3) % BOXES]
+			const box = this.boxes[(i * 3) % BOX_COUNT]
 			const at = performance.now()
 			void box
 				?.sendRequest(`${route}other`, { id: `other-${i}`, body: `body ${i}` })
 				.then((answer) => {
-					const isLate = at > (this.ends[PROVED - 1] ?? Infinity) + CONTACT_MS
+					const isLate =
+						at > (this.crashTimes[CRASHES_UNTIL_QUARANTINE - 1] ?? Infinity) + PROPAGATION_MS
 					if (isLate && answer.status !== 200) lateFailures++
 				})
-			await sleep(RETRY_MS / 3)
+			await sleep(RETRY_DELAY_MS / 3)
 		}
-		await sleep(RETRY_MS)
+		await sleep(RETRY_DELAY_MS)
 		return { lateFailures }
 	}
 
@@ -151,9 +152,9 @@
 		return new CrashingTarget({
 			name,
 			isFatal: (body) => body === FATAL,
-			crashAfterMs: 60,
-			downMs: 1_500,
-			workMs: 20,
+			crashDelayMs: 60,
+			restartDelayMs: 1_500,
+			processingMs: 20,
 			headers: TEST_DIALECT.headers,
 			onStarted: (address, bornAt) =>
 				void this.store.put(
