--- a/packages/gateway/src/lib/restoredAllowance.test.ts
+++ b/packages/gateway/src/lib/restoredAllowance.test.ts
@@ -1,4 +1,4 @@
-import type { MemoryStoreCopy } from '@stallwing/standins'
+import type { MemoryStoreSnapshot } from '@stallwing/standins'
 import fc from 'fast-check'
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { ACCOUNT, BOXES, BudgetTestFleet, CLAIM_ALL_MS, advance } from './testBudgetFleet.js'
@@ -117,17 +117,17 @@
 
 /** Takes backups of the store at a fixed interval. */
 class StoreCopies {
-	private readonly backups: MemoryStoreCopy[] = []
+	private readonly backups: MemoryStoreSnapshot[] = []
 
 	constructor(private readonly fleet: BudgetTestFleet) {
-		this.backups.push(fleet.store.copy())
+		this.backups.push(fleet.store.snapshot())
 	}
 
 	/** Advances the virtual time and takes backups. */
 	async advance(ms: number): Promise<void> {
 		for (let left = ms; left > 0; left -= COPY_INTERVAL_MS) {
 			await advance(this.fleet, Math.min(left, COPY_INTERVAL_MS))
-			this.backups.push(this.fleet.store.copy())
+			this.backups.push(this.fleet.store.snapshot())
 		}
 	}
 
@@ -150,7 +150,7 @@
 
 async function restoreStore(
 	fleet: BudgetTestFleet,
-	copy: MemoryStoreCopy,
+	copy: MemoryStoreSnapshot,
 	{ cutOff, killed }: RestoreScenario,
 ): Promise<void> {
 	for (const box of BOXES) fleet.setCutOff(box, true)
@@ -163,10 +163,10 @@
 /** Runs a scenario until the budget is exhausted. Returns the tokens spent by all boxes. */
 async function tokensSpentIn(scenario: RestoreScenario, budget: number): Promise<number> {
 	const fleet = new BudgetTestFleet(budget, 0)
-	const atStart = fleet.store.copy()
+	const atStart = fleet.store.snapshot()
 	await advance(fleet, CLAIM_ALL_MS)
 	await spendEvenly(fleet, scenario.copyAtMs)
-	const copy = scenario.copyAtMs === 0 ? atStart : fleet.store.copy()
+	const copy = scenario.copyAtMs === 0 ? atStart : fleet.store.snapshot()
 	await spendEvenly(fleet, scenario.copyAgeMs - STORE_OUTAGE_MS)
 	for (const box of scenario.cutOff) fleet.setCutOff(box, true)
 	for (let i = 0; i < scenario.restores; i++) {
--- a/packages/gateway/src/lib/restoredStore.test.ts
+++ b/packages/gateway/src/lib/restoredStore.test.ts
@@ -50,7 +50,7 @@
 	{ isDisconnected, isOvertaken }: RestoreCase,
 	lostWrites: () => void,
 ): Promise<void> {
-	const backup = fleet.store.copy()
+	const backup = fleet.store.snapshot()
 	writeUnrelated(fleet, LOST_WRITES)
 	lostWrites()
 	await vi.advanceTimersByTimeAsync(5_000)
@@ -181,10 +181,10 @@
 			const [firstCase] = RESTORE_CASES
 			if (!firstCase) throw new Error('no restore case')
 			await restoreBackup(fleet, firstCase, () => fleet.store.put(CONFIG_KEY, 'version 2'))
-			const before = fleet.store.calls.get('list') ?? 0
+			const before = fleet.store.callCounts.get('list') ?? 0
 			fleet.store.put(CONFIG_KEY, 'version 2')
 			await vi.advanceTimersByTimeAsync(MAX_RECOVERY_MS)
-			const lists = (fleet.store.calls.get('list') ?? 0) - before
+			const lists = (fleet.store.callCounts.get('list') ?? 0) - before
 			fleet.store.put(CONFIG_KEY, 'version 3')
 			const late = await boxesAfter(
 				fleet,
--- a/packages/gateway/src/lib/targetNotices.test.ts
+++ b/packages/gateway/src/lib/targetNotices.test.ts
@@ -26,10 +26,10 @@
 
 	it('stop a box from sending to leaving targets, whatever the status and the target list', async () => {
 		fleet = new NoticeFleet({
-			t0: { ...OK, notice: LEAVING_NOTICE },
-			t1: { ...OK, status: 503, notRun: true, notice: LEAVING_NOTICE },
-			t2: { ...OK, stream: true, notice: LEAVING_NOTICE },
-			t3: { ...OK, status: 500, notice: LEAVING_NOTICE },
+			t0: { ...OK, noticeHeaders: LEAVING_NOTICE },
+			t1: { ...OK, status: 503, notRun: true, noticeHeaders: LEAVING_NOTICE },
+			t2: { ...OK, isStream: true, noticeHeaders: LEAVING_NOTICE },
+			t3: { ...OK, status: 500, noticeHeaders: LEAVING_NOTICE },
 		})
 		await fleet.start()
 		await fleet.sendRequests(['/once/', '/again/', '/resume/'], LEAVING_TEST_MS)
--- a/packages/gateway/src/lib/testBox.ts
+++ b/packages/gateway/src/lib/testBox.ts
@@ -14,7 +14,12 @@
 	type ZoneName,
 	type AccountName,
 } from '@stallwing/core'
-import { MemoryStore, PLAIN_HEADERS, PLAIN_OWN_HEADER, type CallFate } from '@stallwing/standins'
+import {
+	MemoryStore,
+	STANDIN_HEADERS,
+	STANDIN_OWN_HEADER,
+	type CallOutcome,
+} from '@stallwing/standins'
 import { Metrics } from '@stallwing/telemetry'
 import * as E from 'fp-ts/lib/Either.js'
 import type { Dialect } from './Dialect.js'
@@ -23,7 +28,7 @@
 import { sleep } from './sleep.js'
 
 export const TEST_DIALECT: Dialect = {
-	headers: PLAIN_HEADERS,
+	headers: STANDIN_HEADERS,
 	reservedHeaders: new Set([
 		'authorization',
 		'account',
@@ -32,8 +37,8 @@
 		'rank',
 		'last-event-id',
 	]),
-	ownHeader: PLAIN_OWN_HEADER,
-	unreadHeaders: new Set(['own-instance']),
+	platformHeaderPattern: STANDIN_OWN_HEADER,
+	ignoredHeaders: new Set(['own-instance']),
 	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
 	initialLimits: {
@@ -162,7 +167,7 @@
 /** A gateway in this process with a store in memory and targets on loopback. */
 export class TestBox {
 	/** What happens to calls to the store, if this box created it. */
-	storeFate: CallFate = 'served'
+	storeFate: CallOutcome = 'served'
 	/** Total time for which the machine has been suspended, in ms. */
 	suspendedMs = 0
 	readonly store: MemoryStore
@@ -187,7 +192,8 @@
 		private readonly peersPort = 0,
 	) {
 		this.store =
-			store ?? new MemoryStore({ now: () => performance.now(), sleep, fate: () => this.storeFate })
+			store ??
+			new MemoryStore({ now: () => performance.now(), sleep, outcomeOf: () => this.storeFate })
 		this.gateway = this.makeGateway(name)
 	}
 
@@ -212,7 +218,7 @@
 				cordonPrefix: 'config/cordon/',
 				targetsPrefix: 'targets/',
 				allowanceKey: 'allowance',
-				markPrefix: 'mark/',
+				spendingLimitPrefix: 'mark/',
 				boxPrefix: 'box/',
 				fleetPrefix: 'box',
 				quarantineKey: 'box-quarantine',
@@ -234,7 +240,7 @@
 			now: () => performance.now(),
 			suspendAwareNow: () => performance.now() + this.suspendedMs,
 			wallTime: () => Date.now(),
-			aliveMs: () => 1_000,
+			uptimeMs: () => 1_000,
 			random: () => 0.5,
 		})
 	}
--- a/packages/gateway/src/lib/testBudgetFleet.ts
+++ b/packages/gateway/src/lib/testBudgetFleet.ts
@@ -5,7 +5,7 @@
 	type Budgets,
 	type Incarnation,
 } from '@stallwing/core'
-import { MemoryStore, type CallFate } from '@stallwing/standins'
+import { MemoryStore, type CallOutcome } from '@stallwing/standins'
 import { EraTrackingStore, type KeyValueStore } from '@stallwing/store'
 import { Metrics } from '@stallwing/telemetry'
 import { vi } from 'vitest'
@@ -58,8 +58,8 @@
 		this.store = new MemoryStore({
 			now: () => Date.now(),
 			sleep,
-			fate: (caller) => this.nextFate(caller),
-			lateMs: () => 700 + (this.fateCount % 5) * 900,
+			outcomeOf: (caller) => this.nextFate(caller),
+			lateWriteDelayMs: () => 700 + (this.fateCount % 5) * 900,
 		})
 		this.budgets = { version: 1, tokens: { [ACCOUNT]: this.budget } }
 		for (const box of boxes) this.start(box)
@@ -187,12 +187,12 @@
 		return this.storeCalls.get(box) ?? 0
 	}
 
-	private nextFate(caller: string): CallFate {
+	private nextFate(caller: string): CallOutcome {
 		this.fateCount++
 		this.storeCalls.set(caller, (this.storeCalls.get(caller) ?? 0) + 1)
 		if (this.cutOff.has(caller)) return 'lost'
 		if (!this.hasStoreFaults) return 'served'
-		const fates: readonly CallFate[] = ['served', 'answer-lost', 'late', 'refused', 'served']
+		const fates: readonly CallOutcome[] = ['served', 'answer-lost', 'late', 'refused', 'served']
 		return fates[(this.fateCount * 7 + this.faultSeed) % fates.length] ?? 'served'
 	}
 
--- a/packages/gateway/src/lib/testFleet.ts
+++ b/packages/gateway/src/lib/testFleet.ts
@@ -21,7 +21,7 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { CordonDirectory } from './CordonDirectory.js'
 import { FeedRelay } from './FeedRelay.js'
-import type { FeedPeers } from './PeerFeeds.js'
+import type { FeedPeers } from './PeerFeedReader.js'
 import { TargetDirectory } from './TargetDirectory.js'
 import { TrafficDirectory } from './TrafficDirectory.js'
 import { watchDurationMs } from './watchDurationMs.js'
@@ -289,7 +289,7 @@
 
 	private peersOf(box: string): FeedPeers {
 		return {
-			changes: async (address, prefix, after, waitMs) => {
+			fetchChanges: async (address, prefix, after, waitMs) => {
 				const partitionChanges = this.partitionChanges
 				const startedAt = Date.now()
 				await sleep(PEER_LATENCY_MS)
--- a/packages/gateway/src/lib/testNoticeFleet.ts
+++ b/packages/gateway/src/lib/testNoticeFleet.ts
@@ -1,4 +1,4 @@
-import { MemoryStore, NotifyingTarget, type NotifyingAnswer } from '@stallwing/standins'
+import { MemoryStore, NotifyingTarget, type NotifyingResponse } from '@stallwing/standins'
 import { freePort } from './freePort.js'
 import { sleep } from './sleep.js'
 import {
@@ -25,17 +25,22 @@
 const IN_FLIGHT_MS = 500
 
 /** A success without a notice. */
-export const OK: NotifyingAnswer = { status: 200, notRun: false, stream: false, notice: {} }
+export const OK: NotifyingResponse = {
+	status: 200,
+	notRun: false,
+	isStream: false,
+	noticeHeaders: {},
+}
 /** Header with which a target reports that it is leaving. */
 export const LEAVING_NOTICE = {
 	[TEST_DIALECT.headers.leaving.header]: TEST_DIALECT.headers.leaving.value,
 }
 /** A refusal that asks for a backoff. */
-export const BACKOFF_ANSWER: NotifyingAnswer = {
+export const BACKOFF_ANSWER: NotifyingResponse = {
 	status: 503,
 	notRun: true,
-	stream: false,
-	notice: { 'retry-after': String(BACKOFF_MS / 1_000) },
+	isStream: false,
+	noticeHeaders: { 'retry-after': String(BACKOFF_MS / 1_000) },
 }
 
 /** A request of a caller with its response. */
@@ -65,7 +70,7 @@
 
 	/** `answers`: responses by target name, used once {@link start} has completed; other targets succeed. */
 	constructor(
-		private answers: Readonly<Record<string, NotifyingAnswer>>,
+		private answers: Readonly<Record<string, NotifyingResponse>>,
 		private readonly options: NoticeFleetOptions = {},
 	) {
 		this.boxCount = options.boxCount ?? DEFAULT_BOX_COUNT
@@ -87,7 +92,7 @@
 	}
 
 	/** Replaces the responses of the targets. */
-	setAnswers(answers: Readonly<Record<string, NotifyingAnswer>>): void {
+	setAnswers(answers: Readonly<Record<string, NotifyingResponse>>): void {
 		this.answers = answers
 	}
 
@@ -130,14 +135,14 @@
 	get requestsAfterDrain(): number {
 		return this.sumOverPairs((requests) => {
 			const drainEndsAt = leavingNoticeAt(requests) + MAX_DRAIN_DELAY_MS
-			return requests.filter(({ at }) => at > drainEndsAt).length
+			return requests.filter(({ receivedAt: at }) => at > drainEndsAt).length
 		})
 	}
 
 	/** Responses that asked a box for a backoff. */
 	get backoffCount(): number {
 		return this.sumOverPairs(
-			(requests) => requests.filter(({ answer }) => asksForBackoff(answer)).length,
+			(requests) => requests.filter(({ response: answer }) => asksForBackoff(answer)).length,
 		)
 	}
 
@@ -145,10 +150,10 @@
 	get maxRequestsInBackoff(): number {
 		let maxRequests = 0
 		this.sumOverPairs((requests) => {
-			for (const { at, answer } of requests) {
+			for (const { receivedAt: at, response: answer } of requests) {
 				if (!asksForBackoff(answer)) continue
 				const inBackoff = requests.filter(
-					(other) => other.at > at + IN_FLIGHT_MS && other.at < at + BACKOFF_MS,
+					(other) => other.receivedAt > at + IN_FLIGHT_MS && other.receivedAt < at + BACKOFF_MS,
 				)
 				maxRequests = Math.max(maxRequests, inBackoff.length)
 			}
@@ -162,15 +167,20 @@
 	 */
 	requestTimes(name: string, noticeAgeMs: number): readonly number[] {
 		const requests = this.targets.find((target) => target.name === name)?.requests ?? []
-		const notified = requests.filter(({ at }) => at >= this.noticesFrom)
+		const notified = requests.filter(({ receivedAt: at }) => at >= this.noticesFrom)
 		const noticedAt = new Map<string, number>()
-		for (const { at, answer, requestId } of notified) {
+		for (const { receivedAt: at, response: answer, requestId } of notified) {
 			const box = boxNameOf(requestId)
 			if (!noticedAt.has(box) && namesRate(answer)) noticedAt.set(box, at)
 		}
-		const isNoticed = ({ at, requestId }: { at: number; requestId: string }): boolean =>
-			at >= (noticedAt.get(boxNameOf(requestId)) ?? Infinity) + noticeAgeMs
-		return notified.filter(isNoticed).map(({ at }) => at)
+		const isNoticed = ({
+			receivedAt: at,
+			requestId,
+		}: {
+			receivedAt: number
+			requestId: string
+		}): boolean => at >= (noticedAt.get(boxNameOf(requestId)) ?? Infinity) + noticeAgeMs
+		return notified.filter(isNoticed).map(({ receivedAt: at }) => at)
 	}
 
 	/** Requests that failed, of those sent more than `afterMs` after notices began. */
@@ -207,10 +217,10 @@
 	private firstAvailableAt(box: string, now: number): number {
 		const availableTimes = this.targets.map(({ requests }) => {
 			const backoffs = requests.filter(
-				({ requestId, at, answer }) =>
+				({ requestId, receivedAt: at, response: answer }) =>
 					boxNameOf(requestId) === box && at < now && asksForBackoff(answer),
 			)
-			return Math.max(0, ...backoffs.map(({ at }) => at + BACKOFF_MS))
+			return Math.max(0, ...backoffs.map(({ receivedAt: at }) => at + BACKOFF_MS))
 		})
 		return Math.min(...availableTimes)
 	}
@@ -237,8 +247,8 @@
 		return new NotifyingTarget({
 			name,
 			headers: TEST_DIALECT.headers,
-			workMs: REQUEST_DURATION_MS,
-			answer: () => (performance.now() < this.noticesFrom ? OK : (this.answers[name] ?? OK)),
+			processingMs: REQUEST_DURATION_MS,
+			responseFor: () => (performance.now() < this.noticesFrom ? OK : (this.answers[name] ?? OK)),
 		})
 	}
 }
@@ -249,13 +259,16 @@
 
 function leavingNoticeAt(requests: NotifyingTarget['requests']): number {
 	const { header } = TEST_DIALECT.headers.leaving
-	return requests.find(({ answer }) => answer.notice[header] !== undefined)?.at ?? Infinity
+	return (
+		requests.find(({ response: answer }) => answer.noticeHeaders[header] !== undefined)
+			?.receivedAt ?? Infinity
+	)
 }
 
-function asksForBackoff({ notice }: NotifyingAnswer): boolean {
+function asksForBackoff({ noticeHeaders: notice }: NotifyingResponse): boolean {
 	return notice['retry-after'] !== undefined
 }
 
-function namesRate({ notice }: NotifyingAnswer): boolean {
+function namesRate({ noticeHeaders: notice }: NotifyingResponse): boolean {
 	return notice[TEST_DIALECT.headers.requestRate] !== undefined
 }
--- a/packages/gateway/src/lib/testRateFleet.ts
+++ b/packages/gateway/src/lib/testRateFleet.ts
@@ -72,7 +72,7 @@
 		this.requests.push({ at: Date.now(), box })
 		setTimeout(() => {
 			const hasChanged = handle.noteRate(rate, Date.now())
-			if (rate !== undefined || hasChanged) this.sharings[box]?.note(TARGET, rate, hasChanged)
+			if (rate !== undefined || hasChanged) this.sharings[box]?.share(TARGET, rate, hasChanged)
 			handle.end('good', Date.now())
 		}, RESPONSE_HEAD_LATENCY_MS)
 		return true
--- a/packages/gateway/src/lib/workCodec.test.ts
+++ b/packages/gateway/src/lib/workCodec.test.ts
@@ -2,7 +2,9 @@
 import { describe, expect, it } from 'vitest'
 import { decodeWork, encodeWork, fromWireWork, toWireWork } from './workCodec.js'
 
-const WORK = [{ life: brandId<TargetIncarnation>('t-1'), unreadTokens: 900, open: 2 }]
+const WORK = [
+	{ incarnation: brandId<TargetIncarnation>('t-1'), prefillTokens: 900, openRequests: 2 },
+]
 
 describe('workCodec', () => {
 	it('reads what it wrote', () => {
--- a/packages/gateway/src/lib/workCodec.ts
+++ b/packages/gateway/src/lib/workCodec.ts
@@ -37,15 +37,15 @@
 
 /** Rows as they go on the wire. */
 export function toWireWork(work: readonly TargetWork[]): WireWork[] {
-	return work.map((row) => [row.life, Math.round(row.unreadTokens), row.open])
+	return work.map((row) => [row.incarnation, Math.round(row.prefillTokens), row.openRequests])
 }
 
 /** Undefined where the document is no list of rows. */
 export function fromWireWork(rows: unknown): TargetWork[] | undefined {
 	if (!Array.isArray(rows)) return undefined
-	return (rows as WireWork[]).map(([life, unreadTokens, open]) => ({
-		life: brandId<TargetIncarnation>(life),
-		unreadTokens,
-		open,
+	return (rows as WireWork[]).map(([incarnation, prefillTokens, openRequests]) => ({
+		incarnation: brandId<TargetIncarnation>(incarnation),
+		prefillTokens,
+		openRequests,
 	}))
 }
--- a/packages/router/src/lib/CallerServer.ts
+++ b/packages/router/src/lib/CallerServer.ts
@@ -76,8 +76,8 @@
 		const callId = brandId<CallId>(`call-${this.nextCall++}`)
 		const sink = new HttpSink(
 			response,
-			() => this.metrics.time('stallwing_first_byte_ms', Date.now() - startedAt),
-			() => this.metrics.time('stallwing_request_ms', Date.now() - startedAt),
+			() => this.metrics.recordDuration('stallwing_first_byte_ms', Date.now() - startedAt),
+			() => this.metrics.recordDuration('stallwing_request_ms', Date.now() - startedAt),
 		)
 		const body = await this.readBody(request)
 		if (!body) {
--- a/packages/router/src/lib/RouterDaemon.ts
+++ b/packages/router/src/lib/RouterDaemon.ts
@@ -7,7 +7,7 @@
 	type BundleIndex,
 	type BoxName,
 	type CallId,
-	type Confession,
+	type FinalCountersMessage,
 	type CoreAction,
 	type CoreEvent,
 	type Incarnation,
@@ -170,20 +170,20 @@
 
 	/** State for operators. */
 	status(): Record<string, unknown> {
-		const board = this.core?.board
+		const board = this.core?.blackboard
 		const { box, zone } = this.settings
 		const incarnation = this.incarnation
-		const ledger = board?.money.ledger
+		const ledger = board?.slices.ledger
 		return {
 			box,
 			zone,
 			incarnation,
 			ready: this.core?.isReady() ?? false,
-			keeper: board?.roles.keeper ?? false,
+			keeper: board?.roles.isLeader ?? false,
 			view: board?.members.view.number ?? 0,
 			members: board?.members.view.members.map((member) => member.box) ?? [],
 			bundleVersion: board?.config.index?.bundle.version ?? 0,
-			platformUp: board?.members.platformUp ?? false,
+			platformUp: board?.members.isPlatformUp ?? false,
 			requests: board?.requests.runs.size ?? 0,
 			openCalls: this.callers.openCalls(),
 			budgets: (ledger?.budgets() ?? []).map((budget) => ({
@@ -207,7 +207,7 @@
 		for (const action of this.core.handle(event, Date.now())) this.perform(action)
 	}
 
-	private newCore(confession?: Confession, after?: Incarnation): void {
+	private newCore(confession?: FinalCountersMessage, after?: Incarnation): void {
 		const incarnation = newIncarnation(Date.now(), after)
 		this.incarnation = incarnation
 		const self: BoxConfig = {
@@ -217,7 +217,7 @@
 			address: this.address,
 			timing: DEFAULT_TIMING,
 		}
-		this.core = new RouterCore(self, Math.random, { confession })
+		this.core = new RouterCore(self, Math.random, { finalCounters: confession })
 	}
 
 	private perform(action: CoreAction): void {
@@ -266,7 +266,7 @@
 				this.log.log(action.event)
 				return
 			case 'restart':
-				this.newCore(action.confession, action.after)
+				this.newCore(action.finalCounters, action.after)
 				return
 			case 'exit':
 				this.timers.push(setTimeout(() => void this.close(true), EXIT_FLUSH_MS))
@@ -369,8 +369,8 @@
 
 	private poll(): void {
 		this.links.closeIdle()
-		const index = this.core?.board.config.index
-		if (!index || !this.core?.board.roles.keeper) return
+		const index = this.core?.blackboard.config.index
+		if (!index || !this.core?.blackboard.roles.isLeader) return
 		void this.poller.poll(index.targetsOf(brandId<ZoneName>(this.settings.zone)))
 		void this.readList(index)
 	}
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -10,8 +10,8 @@
 } from './lib/startPlatform.js'
 export {
 	MemoryStore,
-	type CallFate,
-	type MemoryStoreCopy,
+	type CallOutcome,
+	type MemoryStoreSnapshot,
 	type MemoryStoreOptions,
 } from './lib/MemoryStore.js'
 export { DEFAULT_ENGINE_MODEL, type EngineModel } from './lib/EngineScheduler.js'
@@ -19,10 +19,10 @@
 export { CrashingTarget, type CrashingTargetOptions } from './lib/CrashingTarget.js'
 export {
 	NotifyingTarget,
-	type NotifiedRequest,
-	type NotifyingAnswer,
+	type ReceivedRequest,
+	type NotifyingResponse,
 	type NotifyingTargetOptions,
 } from './lib/NotifyingTarget.js'
 export { startService, type ServiceOptions } from './lib/startService.js'
 export { NO_TARGET_FAULTS, type TargetFaults } from './lib/targetFaults.js'
-export { PLAIN_HEADERS, PLAIN_OWN_HEADER } from './lib/plainHeaders.js'
+export { STANDIN_HEADERS, STANDIN_OWN_HEADER } from './lib/standinHeaders.js'
--- a/packages/standins/src/lib/CrashingTarget.ts
+++ b/packages/standins/src/lib/CrashingTarget.ts
@@ -8,11 +8,11 @@
 	/** True for the body of a request that ends the process of the target. */
 	readonly isFatal: (body: string) => boolean
 	/** Time from the arrival of such a request to the end, in ms. */
-	readonly crashAfterMs: number
+	readonly crashDelayMs: number
 	/** Time from the end to the next start, in ms. */
-	readonly downMs: number
+	readonly restartDelayMs: number
 	/** Time that other requests take, in ms. */
-	readonly workMs: number
+	readonly processingMs: number
 	/** Names of the headers that answers carry. */
 	readonly headers: { readonly requestId: string; readonly mark: string }
 	/** The target has started: its address, and the time of day of its start in ms. */
@@ -29,31 +29,31 @@
  */
 export class CrashingTarget {
 	/** Steady time of each end, in ms. */
-	readonly endedAt: number[] = []
+	readonly crashTimes: number[] = []
 	private server: Server | undefined
 	private readonly sockets = new Set<Socket>()
 	private port = 0
-	private stopped = false
+	private isStopped = false
 
 	constructor(private readonly options: CrashingTargetOptions) {}
 
 	async start(): Promise<void> {
 		const server = createServer((message, response) => {
 			void readBody(message).then(async (body) => {
-				const { headers, name, workMs } = this.options
+				const { headers, name, processingMs: workMs } = this.options
 				const isStream = message.url?.includes('stream') || message.url?.includes('resume')
 				response.setHeader(headers.requestId, message.headers[headers.requestId] ?? '')
 				response.setHeader(headers.mark, name)
 				if (isStream) response.setHeader('Content-Type', 'text/event-stream')
 				if (!this.options.isFatal(body)) {
 					await sleep(workMs)
-					response.end(isStream ? eventText(1) : 'ok')
+					response.end(isStream ? formatEvent(1) : 'ok')
 					return
 				}
 				const after = Number(message.headers['last-event-id'] ?? 0)
 				if (isStream)
-					for (let i = 1; i <= EVENTS_BEFORE_CRASH; i++) response.write(eventText(after + i))
-				await sleep(this.options.crashAfterMs)
+					for (let i = 1; i <= EVENTS_BEFORE_CRASH; i++) response.write(formatEvent(after + i))
+				await sleep(this.options.crashDelayMs)
 				this.crash(server)
 			})
 		})
@@ -68,27 +68,27 @@
 	}
 
 	stop(): void {
-		this.stopped = true
-		this.end()
+		this.isStopped = true
+		this.terminate()
 	}
 
 	private crash(server: Server): void {
 		// A second fatal request on the same start ends with it.
 		if (server !== this.server) return
-		this.endedAt.push(performance.now())
-		this.end()
+		this.crashTimes.push(performance.now())
+		this.terminate()
 		setTimeout(() => {
-			if (!this.stopped) void this.start()
-		}, this.options.downMs)
+			if (!this.isStopped) void this.start()
+		}, this.options.restartDelayMs)
 	}
 
-	private end(): void {
+	private terminate(): void {
 		this.server?.close()
 		this.server = undefined
 		for (const socket of this.sockets) socket.resetAndDestroy()
 	}
 }
 
-function eventText(id: number): string {
+function formatEvent(id: number): string {
 	return `id: ${id}\ndata: piece ${id}\n\n`
 }
--- a/packages/standins/src/lib/EngineScheduler.ts
+++ b/packages/standins/src/lib/EngineScheduler.ts
@@ -1,15 +1,15 @@
 /** One request inside the engine. */
 export interface EngineRun {
 	readonly id: string
-	readonly urgent: boolean
+	readonly isUrgent: boolean
 	readonly promptTokens: number
 	readonly outputTokens: number
 	/** Prompt tokens that still have to be read in. */
-	prefillLeft: number
-	produced: number
-	cancelled: boolean
+	unreadPromptTokens: number
+	producedTokens: number
+	isCancelled: boolean
 	/** Called after each change; the run is over once `isOver` says so. */
-	onProgress: (() => void)[]
+	progressListeners: (() => void)[]
 }
 
 /** Cost model of the engine stand-in. @public */
@@ -36,8 +36,8 @@
 }
 
 /** Says whether a run will produce nothing more. */
-export function isOver(run: EngineRun): boolean {
-	return run.cancelled || run.produced >= run.outputTokens
+export function isFinished(run: EngineRun): boolean {
+	return run.isCancelled || run.producedTokens >= run.outputTokens
 }
 
 /**
@@ -45,62 +45,63 @@
  * to a limit, and each request that has been read in produces one token.
  */
 export class EngineScheduler {
-	private readonly waiting: EngineRun[] = []
+	private readonly queue: EngineRun[] = []
 	private batch: EngineRun[] = []
-	private readonly prefixes = new Map<string, true>()
+	private readonly prefixCache = new Map<string, true>()
 	private timer: NodeJS.Timeout | undefined
 
 	constructor(private readonly model: EngineModel) {}
 
-	running(): number {
+	runningCount(): number {
 		return this.batch.length
 	}
 
-	queued(): number {
-		return this.waiting.length
+	queuedCount(): number {
+		return this.queue.length
 	}
 
 	/** Adds a run. A prefix in the cache needs no reading in. */
 	add(run: EngineRun, prefix: string): void {
-		if (this.prefixes.has(prefix)) run.prefillLeft = Math.ceil(run.prefillLeft / 10)
-		this.prefixes.delete(prefix)
-		this.prefixes.set(prefix, true)
-		const oldest = this.prefixes.keys().next().value
-		if (this.prefixes.size > this.model.prefixCacheEntries && oldest !== undefined)
-			this.prefixes.delete(oldest)
-		this.waiting.push(run)
-		this.schedule()
+		if (this.prefixCache.has(prefix))
+			run.unreadPromptTokens = Math.ceil(run.unreadPromptTokens / 10)
+		this.prefixCache.delete(prefix)
+		this.prefixCache.set(prefix, true)
+		const oldest = this.prefixCache.keys().next().value
+		if (this.prefixCache.size > this.model.prefixCacheEntries && oldest !== undefined)
+			this.prefixCache.delete(oldest)
+		this.queue.push(run)
+		this.scheduleStep()
 	}
 
 	stop(): void {
 		if (this.timer) clearTimeout(this.timer)
 	}
 
-	private schedule(): void {
-		if (this.timer || this.batch.length + this.waiting.length === 0) return
+	private scheduleStep(): void {
+		if (this.timer || this.batch.length + this.queue.length === 0) return
 		const ms = this.model.stepMs + this.batch.length * this.model.stepPerRequestMs
 		this.timer = setTimeout(() => {
 			this.timer = undefined
-			this.step()
-			this.schedule()
+			this.runStep()
+			this.scheduleStep()
 		}, ms)
 	}
 
-	private step(): void {
-		this.waiting.sort((a, b) => Number(b.urgent) - Number(a.urgent))
+	private runStep(): void {
+		this.queue.sort((a, b) => Number(b.isUrgent) - Number(a.isUrgent))
 		while (this.batch.length < this.model.batchLimit) {
-			const next = this.waiting.shift()
+			const next = this.queue.shift()
 			if (!next) break
 			this.batch.push(next)
 		}
 		let prefill = this.model.prefillPerStep
 		for (const run of this.batch) {
-			const read = Math.min(prefill, run.prefillLeft)
+			const read = Math.min(prefill, run.unreadPromptTokens)
 			prefill -= read
-			run.prefillLeft -= read
-			if (run.prefillLeft === 0 && !run.cancelled) run.produced++
-			for (const listener of [...run.onProgress]) listener()
+			run.unreadPromptTokens -= read
+			if (run.unreadPromptTokens === 0 && !run.isCancelled) run.producedTokens++
+			for (const listener of [...run.progressListeners]) listener()
 		}
-		this.batch = this.batch.filter((run) => !isOver(run))
+		this.batch = this.batch.filter((run) => !isFinished(run))
 	}
 }
--- a/packages/standins/src/lib/KvStore.ts
+++ b/packages/standins/src/lib/KvStore.ts
@@ -3,14 +3,14 @@
 interface Entry {
 	value: unknown
 	revision: number
-	lease: string | undefined
+	leaseId: string | undefined
 }
 
 interface Watcher {
 	readonly key: string
-	readonly after: number
-	readonly until: Millis
-	readonly answer: (result: PlatformResult) => void
+	readonly afterRevision: number
+	readonly deadline: Millis
+	readonly respond: (result: PlatformResult) => void
 }
 
 /** Calls that a store has answered. A waiting watch counts as one. @public */
@@ -30,10 +30,10 @@
 export class KvStore {
 	readonly counts: CallCounts = { reads: 0, writes: 0, watches: 0 }
 	private readonly entries = new Map<string, Entry>()
-	private readonly leases = new Map<string, { ttlMs: Millis; until: Millis }>()
+	private readonly leases = new Map<string, { ttlMs: Millis; expiresAt: Millis }>()
 	private watchers: Watcher[] = []
 	private revision = 0
-	private nextLease = 1
+	private nextLeaseId = 1
 
 	/** Carries out one call; a watch may answer later. */
 	call(op: PlatformOp, now: Millis, answer: (result: PlatformResult) => void): void {
@@ -45,13 +45,13 @@
 				return
 			case 'cas':
 				this.counts.writes++
-				answer(this.cas(op))
+				answer(this.compareAndSwap(op))
 				return
 			case 'lease-create':
 			case 'lease-renew':
 			case 'lease-drop':
 				this.counts.writes++
-				answer(this.lease(op, now))
+				answer(this.handleLeaseCall(op, now))
 				return
 			case 'watch':
 				this.counts.watches++
@@ -61,11 +61,12 @@
 
 	/** Ends leases and watches whose time is up. */
 	expire(now: Millis): void {
-		for (const [lease, { until }] of this.leases) if (until <= now) this.endLease(lease)
-		const due = this.watchers.filter((watcher) => watcher.until <= now)
+		for (const [lease, { expiresAt: until }] of this.leases)
+			if (until <= now) this.removeLease(lease)
+		const due = this.watchers.filter((watcher) => watcher.deadline <= now)
 		if (due.length === 0) return
-		this.watchers = this.watchers.filter((watcher) => watcher.until > now)
-		for (const watcher of due) watcher.answer(this.get(watcher.key))
+		this.watchers = this.watchers.filter((watcher) => watcher.deadline > now)
+		for (const watcher of due) watcher.respond(this.get(watcher.key))
 	}
 
 	/** All keys with a prefix, for reports and checks. */
@@ -82,7 +83,7 @@
 		return { kind: 'value', revision: entry.revision, value: structuredClone(entry.value) }
 	}
 
-	private cas(op: Extract<PlatformOp, { kind: 'cas' }>): PlatformResult {
+	private compareAndSwap(op: Extract<PlatformOp, { kind: 'cas' }>): PlatformResult {
 		const entry = this.entries.get(op.key)
 		const current = entry?.revision ?? 0
 		if (current !== op.expected) return { kind: 'conflict', revision: current }
@@ -90,31 +91,31 @@
 		if (JSON.stringify(op.value).length > MAX_VALUE_BYTES)
 			return { kind: 'refused', retryAfterMs: 0 }
 		const revision = ++this.revision
-		this.entries.set(op.key, { value: structuredClone(op.value), revision, lease: op.lease })
-		this.notify(op.key)
+		this.entries.set(op.key, { value: structuredClone(op.value), revision, leaseId: op.lease })
+		this.notifyWatchers(op.key)
 		return { kind: 'written', revision }
 	}
 
-	private lease(
+	private handleLeaseCall(
 		op: Extract<PlatformOp, { kind: 'lease-create' | 'lease-renew' | 'lease-drop' }>,
 		now: Millis,
 	): PlatformResult {
 		if (op.kind === 'lease-create') {
-			const lease = `lease-${this.nextLease++}`
-			this.leases.set(lease, { ttlMs: op.ttlMs, until: now + op.ttlMs })
+			const lease = `lease-${this.nextLeaseId++}`
+			this.leases.set(lease, { ttlMs: op.ttlMs, expiresAt: now + op.ttlMs })
 			return { kind: 'lease', lease }
 		}
 		const held = this.leases.get(op.lease)
 		if (!held) return { kind: 'lease-lost' }
-		if (op.kind === 'lease-drop') this.endLease(op.lease)
-		else held.until = now + held.ttlMs
+		if (op.kind === 'lease-drop') this.removeLease(op.lease)
+		else held.expiresAt = now + held.ttlMs
 		return { kind: 'lease', lease: op.lease }
 	}
 
-	private endLease(lease: string): void {
+	private removeLease(lease: string): void {
 		this.leases.delete(lease)
 		for (const [key, entry] of this.entries) {
-			if (entry.lease !== lease) continue
+			if (entry.leaseId !== lease) continue
 			this.entries.delete(key)
 			this.revision++
 		}
@@ -127,13 +128,19 @@
 	): void {
 		const entry = this.entries.get(op.key)
 		if (entry && entry.revision > op.after) answer(this.get(op.key))
-		else this.watchers.push({ key: op.key, after: op.after, until: now + op.timeoutMs, answer })
+		else
+			this.watchers.push({
+				key: op.key,
+				afterRevision: op.after,
+				deadline: now + op.timeoutMs,
+				respond: answer,
+			})
 	}
 
-	private notify(key: string): void {
+	private notifyWatchers(key: string): void {
 		const due = this.watchers.filter((watcher) => watcher.key === key)
 		if (due.length === 0) return
 		this.watchers = this.watchers.filter((watcher) => watcher.key !== key)
-		for (const watcher of due) watcher.answer(this.get(key))
+		for (const watcher of due) watcher.respond(this.get(key))
 	}
 }
--- a/packages/standins/src/lib/MemoryStore.ts
+++ b/packages/standins/src/lib/MemoryStore.ts
@@ -13,7 +13,7 @@
 import * as E from 'fp-ts/lib/Either.js'
 
 /** What happens to one call. */
-export type CallFate =
+export type CallOutcome =
 	/** Done and answered. */
 	| 'served'
 	/** Not done; the store says so. */
@@ -30,33 +30,33 @@
 	/** Clock of the store, in ms. Leases run by it. */
 	readonly now: () => number
 	/** Decides about each call; `caller` is the name given to {@link MemoryStore.connect}. */
-	readonly fate?: (caller: string, call: string) => CallFate
+	readonly outcomeOf?: (caller: string, call: string) => CallOutcome
 	/** Delay of a late write, in ms. */
-	readonly lateMs?: () => number
+	readonly lateWriteDelayMs?: () => number
 	readonly sleep: (ms: number) => Promise<void>
 }
 
-interface HeldItem {
+interface StoredItem {
 	readonly item: StoreItem<number>
-	readonly lease: number
+	readonly leaseId: number
 }
 
-interface LoggedChange {
+interface ChangeRecord {
 	readonly key: string
 	readonly revision: number
 	readonly item: StoreItem<number> | undefined
 }
 
 /** What a store holds at one moment. @public */
-export interface MemoryStoreCopy {
-	readonly items: ReadonlyMap<string, HeldItem>
+export interface MemoryStoreSnapshot {
+	readonly items: ReadonlyMap<string, StoredItem>
 	readonly leases: ReadonlyMap<number, number>
 	readonly revision: number
 }
 
-const ANSWER_MS = 4
-const NO_ANSWER_MS = 400
-const POLL_MS = 20
+const RESPONSE_DELAY_MS = 4
+const CALL_TIMEOUT_MS = 400
+const POLL_INTERVAL_MS = 20
 
 /**
  * Stand-in for the key-value service, in memory: items, conditional writes, leases, watches with a
@@ -64,15 +64,15 @@
  * @public
  */
 export class MemoryStore {
-	private items = new Map<string, HeldItem>()
+	private items = new Map<string, StoredItem>()
 	private leases = new Map<number, number>()
-	private history: LoggedChange[] = []
-	private compactedAt = 0
+	private history: ChangeRecord[] = []
+	private compactedRevision = 0
 	private revision = 0
 	private era = 1
-	private nextLease = 1
+	private nextLeaseId = 1
 	/** Calls that arrived, by kind. */
-	readonly calls = new Map<string, number>()
+	readonly callCounts = new Map<string, number>()
 
 	constructor(private readonly options: MemoryStoreOptions) {}
 
@@ -89,40 +89,40 @@
 	connection(caller: string): StoreConnection {
 		return {
 			list: (prefix, isStale) =>
-				this.call(caller, isStale ? 'listStale' : 'list', () => this.list(prefix)),
+				this.simulateCall(caller, isStale ? 'listStale' : 'list', () => this.list(prefix)),
 			watch: (prefix, after, waitMs) => this.watch(caller, prefix, after, waitMs),
 			write: (key, value, expected, lease) =>
-				this.call(caller, 'write', () => this.write(key, value, expected, lease)),
-			lease: (ttlMs) => this.call(caller, 'lease', () => this.makeLease(ttlMs)),
+				this.simulateCall(caller, 'write', () => this.write(key, value, expected, lease)),
+			lease: (ttlMs) => this.simulateCall(caller, 'lease', () => this.createLease(ttlMs)),
 			read: (key, isStale) =>
-				this.call(caller, isStale ? 'readStale' : 'read', () => E.right(this.item(key))),
-			ping: () => this.call(caller, 'ping', () => E.right(undefined)),
+				this.simulateCall(caller, isStale ? 'readStale' : 'read', () => E.right(this.item(key))),
+			ping: () => this.simulateCall(caller, 'ping', () => E.right(undefined)),
 		}
 	}
 
 	/** Writes as an operator or a target does: at once and without a condition. */
 	put(key: string, value: string): number {
-		return this.store(key, Buffer.from(value), 0)
+		return this.storeItem(key, Buffer.from(value), 0)
 	}
 
 	/** Removes as an operator or a target does. */
 	remove(key: string): void {
-		if (this.items.delete(key)) this.log(key, undefined)
+		if (this.items.delete(key)) this.recordChange(key, undefined)
 	}
 
 	/** The value of a key, as text. */
-	text(key: string): string | undefined {
+	getText(key: string): string | undefined {
 		return this.item(key)?.value.toString('utf8')
 	}
 
 	/** Forgets all history: watches from before get `history-gone`. */
 	compact(): void {
 		this.history = []
-		this.compactedAt = this.revision
+		this.compactedRevision = this.revision
 	}
 
 	/** A copy of all that the store holds, for {@link restore}. */
-	copy(): MemoryStoreCopy {
+	snapshot(): MemoryStoreSnapshot {
 		return {
 			items: new Map(this.items),
 			leases: new Map(this.leases),
@@ -134,7 +134,7 @@
 	 * Comes back from a copy: what was written since is gone, leases too. Revisions go back and are given out
 	 * again, in a new era; the changes before the copy are no longer told.
 	 */
-	restore({ items, leases, revision }: MemoryStoreCopy): void {
+	restore({ items, leases, revision }: MemoryStoreSnapshot): void {
 		this.items = new Map(items)
 		this.leases = new Map(leases)
 		this.revision = revision
@@ -142,35 +142,35 @@
 		this.compact()
 	}
 
-	private async call<T>(
+	private async simulateCall<T>(
 		caller: string,
 		name: string,
 		perform: () => E.Either<StoreFault, T>,
 	): Promise<EraResponse<T>> {
-		this.calls.set(name, (this.calls.get(name) ?? 0) + 1)
-		const fate = this.options.fate?.(caller, name) ?? 'served'
+		this.callCounts.set(name, (this.callCounts.get(name) ?? 0) + 1)
+		const fate = this.options.outcomeOf?.(caller, name) ?? 'served'
 		if (fate === 'served' || fate === 'refused') {
-			await this.options.sleep(ANSWER_MS)
+			await this.options.sleep(RESPONSE_DELAY_MS)
 			const result: E.Either<StoreFault, T> =
 				fate === 'served' ? perform() : E.left({ kind: 'refused', status: 503 })
 			return { era: this.era, result }
 		}
 		if (fate === 'answer-lost') perform()
-		if (fate === 'late') void this.performLate(perform)
-		await this.options.sleep(NO_ANSWER_MS)
+		if (fate === 'late') void this.performLater(perform)
+		await this.options.sleep(CALL_TIMEOUT_MS)
 		return { era: undefined, result: E.left({ kind: 'no-answer', cause: fate }) }
 	}
 
-	private async performLate(perform: () => unknown): Promise<void> {
-		await this.options.sleep(this.options.lateMs?.() ?? NO_ANSWER_MS)
+	private async performLater(perform: () => unknown): Promise<void> {
+		await this.options.sleep(this.options.lateWriteDelayMs?.() ?? CALL_TIMEOUT_MS)
 		perform()
 	}
 
 	private list(prefix: string): E.Either<StoreFault, StoreListing<number>> {
-		this.expire()
+		this.expireLeases()
 		const items = [...this.items.values()]
 			.map((held) => held.item)
-			.filter((item) => item.key.startsWith(prefix))
+			.filter((getItem) => getItem.key.startsWith(prefix))
 		return E.right({ items, at: this.revision })
 	}
 
@@ -182,10 +182,10 @@
 	): Promise<EraResponse<readonly StoreChange<number>[]>> {
 		const until = this.options.now() + waitMs
 		for (;;) {
-			const seen = await this.call(caller, 'watch', () => this.changes(prefix, after))
+			const seen = await this.simulateCall(caller, 'watch', () => this.changes(prefix, after))
 			if (E.isLeft(seen.result) || seen.result.right.length > 0) return seen
 			if (this.options.now() >= until) return seen
-			await this.options.sleep(POLL_MS)
+			await this.options.sleep(POLL_INTERVAL_MS)
 		}
 	}
 
@@ -193,8 +193,8 @@
 		prefix: string,
 		after: number,
 	): E.Either<StoreFault, readonly StoreChange<number>[]> {
-		this.expire()
-		const isKnown = after >= this.compactedAt && after <= this.revision
+		this.expireLeases()
+		const isKnown = after >= this.compactedRevision && after <= this.revision
 		if (!isKnown) return E.left({ kind: 'history-gone' })
 		const changes = this.history
 			.filter((change) => change.revision > after && change.key.startsWith(prefix))
@@ -215,38 +215,38 @@
 		const current = this.item(key)
 		if ((current?.revision ?? 0) !== expected) return E.right({ kind: 'conflict', current })
 		if (lease && !this.leases.has(lease.id)) return E.left({ kind: 'refused', status: 404 })
-		return E.right({ kind: 'written', revision: this.store(key, value, lease?.id ?? 0) })
+		return E.right({ kind: 'written', revision: this.storeItem(key, value, lease?.id ?? 0) })
 	}
 
-	private makeLease(ttlMs: number): E.Either<StoreFault, StoreLease> {
-		const id = this.nextLease++
+	private createLease(ttlMs: number): E.Either<StoreFault, StoreLease> {
+		const id = this.nextLeaseId++
 		this.leases.set(id, this.options.now() + ttlMs)
 		return E.right({ id })
 	}
 
 	private item(key: string): StoreItem<number> | undefined {
-		this.expire()
+		this.expireLeases()
 		return this.items.get(key)?.item
 	}
 
-	private store(key: string, value: Buffer, lease: number): number {
+	private storeItem(key: string, value: Buffer, lease: number): number {
 		const item: StoreItem<number> = { key, value, revision: this.revision + 1 }
-		this.items.set(key, { item, lease })
-		this.log(key, item)
+		this.items.set(key, { item, leaseId: lease })
+		this.recordChange(key, item)
 		return this.revision
 	}
 
-	private log(key: string, item: StoreItem<number> | undefined): void {
+	private recordChange(key: string, item: StoreItem<number> | undefined): void {
 		this.revision++
 		this.history.push({ key, revision: this.revision, item })
 	}
 
-	private expire(): void {
+	private expireLeases(): void {
 		const now = this.options.now()
 		for (const [id, until] of this.leases) {
 			if (until > now) continue
 			this.leases.delete(id)
-			for (const [key, held] of this.items) if (held.lease === id) this.remove(key)
+			for (const [key, held] of this.items) if (held.leaseId === id) this.remove(key)
 		}
 	}
 }
--- a/packages/standins/src/lib/plainHeaders.ts
+++ b/packages/standins/src/lib/standinHeaders.ts
@@ -1,5 +1,5 @@
 /** Names of headers as stand-ins for callers and targets spell them, lower case. @public */
-export const PLAIN_HEADERS = {
+export const STANDIN_HEADERS = {
 	requestId: 'request-id',
 	deadline: 'deadline-ms',
 	account: 'account',
@@ -15,4 +15,4 @@
 } as const
 
 /** Headers by which stand-ins speak that no program knows. @public */
-export const PLAIN_OWN_HEADER = /^own-/
+export const STANDIN_OWN_HEADER = /^own-/
--- a/packages/standins/src/lib/startEngine.ts
+++ b/packages/standins/src/lib/startEngine.ts
@@ -2,12 +2,12 @@
 import {
 	DEFAULT_ENGINE_MODEL,
 	EngineScheduler,
-	isOver,
+	isFinished,
 	type EngineModel,
 	type EngineRun,
 } from './EngineScheduler.js'
 import { listen, readBody, sendJson, sleep, type RunningStandin } from './httpHelpers.js'
-import { NO_TARGET_FAULTS, takeFault, type TargetFaults } from './targetFaults.js'
+import { NO_TARGET_FAULTS, consumeFault, type TargetFaults } from './targetFaults.js'
 
 /** Options of an engine stand-in. @public */
 export interface EngineOptions {
@@ -24,7 +24,7 @@
 	reportLagMs: 500,
 }
 
-interface ChatBody {
+interface ChatRequest {
 	readonly model: string
 	readonly messages: readonly { readonly role: string; readonly content: string }[]
 	readonly stream?: boolean
@@ -33,11 +33,11 @@
 
 const CHARACTERS_PER_TOKEN = 4
 const TOKENS_PER_MESSAGE = 4
-const PREFIX_CHARACTERS = 256
-const SHORTEST_ANSWER = 8
-const ANSWER_SPREAD = 40
-const KEPT_RUNS = 10_000
-const TOO_MUCH_BYTES = 4_000_000
+const CACHED_PREFIX_CHARACTERS = 256
+const MIN_OUTPUT_TOKENS = 8
+const OUTPUT_TOKENS_SPREAD = 40
+const MAX_RETAINED_RUNS = 10_000
+const OVERSIZED_RESPONSE_BYTES = 4_000_000
 
 /** A model engine in the usual chat-completions form, with cancel, resume and a load report. @public */
 export async function startEngine(options: Partial<EngineOptions> = {}): Promise<RunningStandin> {
@@ -58,9 +58,9 @@
 class EngineServer {
 	private readonly scheduler: EngineScheduler
 	private readonly runs = new Map<string, EngineRun>()
-	private readonly counts = new Map<string, number>()
+	private readonly runCounts = new Map<string, number>()
 	private faults: TargetFaults = { ...NO_TARGET_FAULTS }
-	private reports: { at: number; running: number; waiting: number }[] = []
+	private loadReports: { at: number; running: number; waiting: number }[] = []
 
 	constructor(
 		model: EngineModel,
@@ -77,10 +77,10 @@
 		const path = (request.url ?? '/').split('?')[0] ?? '/'
 		const text = await readBody(request)
 		if (path === '/v1/chat/completions') await this.chat(request, text, response)
-		else if (path === '/load') sendJson(response, 200, this.report())
-		else if (path === '/standin/runs') sendJson(response, 200, Object.fromEntries(this.counts))
+		else if (path === '/load') sendJson(response, 200, this.laggedLoadReport())
+		else if (path === '/standin/runs') sendJson(response, 200, Object.fromEntries(this.runCounts))
 		else if (path === '/standin/faults') this.setFaults(text, response)
-		else if (path.startsWith('/v1/runs/')) this.control(path, response)
+		else if (path.startsWith('/v1/runs/')) this.controlRun(path, response)
 		else sendJson(response, 404, { error: { message: 'no such path' } })
 	}
 
@@ -95,78 +95,78 @@
 		response: ServerResponse,
 	): Promise<void> {
 		if (this.faults.delayMs > 0) await sleep(this.faults.delayMs)
-		if (takeFault(this.faults, 'refuse')) {
+		if (consumeFault(this.faults, 'refuse')) {
 			sendJson(response, 503, { error: { message: 'overloaded' } }, { 'retry-after': '1' })
 			return
 		}
-		const body = JSON.parse(text) as ChatBody
-		const id = String(request.headers['x-request-id'] ?? `anonymous-${this.counts.size}`)
-		this.counts.set(id, (this.counts.get(id) ?? 0) + 1)
-		if (takeFault(this.faults, 'rubbish')) {
+		const body = JSON.parse(text) as ChatRequest
+		const id = String(request.headers['x-request-id'] ?? `anonymous-${this.runCounts.size}`)
+		this.runCounts.set(id, (this.runCounts.get(id) ?? 0) + 1)
+		if (consumeFault(this.faults, 'rubbish')) {
 			response.end('\u0000 rubbish')
 			return
 		}
-		if (takeFault(this.faults, 'tooMuch')) {
-			response.end('x'.repeat(TOO_MUCH_BYTES))
+		if (consumeFault(this.faults, 'tooMuch')) {
+			response.end('x'.repeat(OVERSIZED_RESPONSE_BYTES))
 			return
 		}
-		const run = this.begin(id, body, request.headers['x-priority'] === 'urgent')
-		this.serve(run, body.stream === true, response)
+		const run = this.startRun(id, body, request.headers['x-priority'] === 'urgent')
+		this.sendRun(run, body.stream === true, response)
 	}
 
-	private begin(id: string, body: ChatBody, urgent: boolean): EngineRun {
+	private startRun(id: string, body: ChatRequest, urgent: boolean): EngineRun {
 		const prompt = body.messages.map((message) => message.content).join('\n')
 		const promptTokens =
 			Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) + body.messages.length * TOKENS_PER_MESSAGE
-		const wanted = SHORTEST_ANSWER + (prompt.length % ANSWER_SPREAD)
+		const wanted = MIN_OUTPUT_TOKENS + (prompt.length % OUTPUT_TOKENS_SPREAD)
 		const run: EngineRun = {
 			id,
-			urgent,
+			isUrgent: urgent,
 			promptTokens,
 			outputTokens: Math.min(body.max_tokens ?? wanted, wanted),
-			prefillLeft: promptTokens,
-			produced: 0,
-			cancelled: false,
-			onProgress: [],
+			unreadPromptTokens: promptTokens,
+			producedTokens: 0,
+			isCancelled: false,
+			progressListeners: [],
 		}
 		this.runs.set(id, run)
 		const oldest = this.runs.keys().next().value
-		if (this.runs.size > KEPT_RUNS && oldest !== undefined) this.runs.delete(oldest)
-		this.scheduler.add(run, prompt.slice(0, PREFIX_CHARACTERS))
+		if (this.runs.size > MAX_RETAINED_RUNS && oldest !== undefined) this.runs.delete(oldest)
+		this.scheduler.add(run, prompt.slice(0, CACHED_PREFIX_CHARACTERS))
 		return run
 	}
 
 	/** Sends the answer of a run from its first token, as it comes. */
-	private serve(run: EngineRun, stream: boolean, response: ServerResponse): void {
+	private sendRun(run: EngineRun, stream: boolean, response: ServerResponse): void {
 		if (stream) response.writeHead(200, { 'content-type': 'text/event-stream' })
-		const breaks = takeFault(this.faults, 'closeEarly')
-		const stalls = takeFault(this.faults, 'stall')
+		const breaks = consumeFault(this.faults, 'closeEarly')
+		const stalls = consumeFault(this.faults, 'stall')
 		let sent = 0
 		const push = (): void => {
-			if (breaks && run.produced > run.outputTokens / 2) {
+			if (breaks && run.producedTokens > run.outputTokens / 2) {
 				response.destroy()
 				done()
 				return
 			}
 			if (stream) {
-				for (; sent < run.produced; sent++) response.write(tokenEvent(run, sent))
+				for (; sent < run.producedTokens; sent++) response.write(formatTokenEvent(run, sent))
 			}
-			if (!isOver(run) || stalls) return
+			if (!isFinished(run) || stalls) return
 			done()
-			if (run.cancelled) response.destroy()
-			else if (stream) response.end(lastEvents(run))
-			else sendJson(response, 200, wholeAnswer(run))
+			if (run.isCancelled) response.destroy()
+			else if (stream) response.end(formatFinalEvents(run))
+			else sendJson(response, 200, toCompletion(run))
 		}
 		const done = (): void => {
-			const at = run.onProgress.indexOf(push)
-			if (at >= 0) run.onProgress.splice(at, 1)
+			const at = run.progressListeners.indexOf(push)
+			if (at >= 0) run.progressListeners.splice(at, 1)
 		}
-		run.onProgress.push(push)
+		run.progressListeners.push(push)
 		response.on('close', done)
 		push()
 	}
 
-	private control(path: string, response: ServerResponse): void {
+	private controlRun(path: string, response: ServerResponse): void {
 		const [, , , rawId = '', action] = path.split('/')
 		const run = this.runs.get(decodeURIComponent(rawId))
 		if (!run) {
@@ -174,48 +174,48 @@
 			return
 		}
 		if (action === 'cancel') {
-			if (!isOver(run)) run.cancelled = true
+			if (!isFinished(run)) run.isCancelled = true
 			sendJson(response, 200, usageOf(run))
-		} else if (run.cancelled) sendJson(response, 410, { error: { message: 'cancelled' } })
-		else this.serve(run, action === 'stream', response)
+		} else if (run.isCancelled) sendJson(response, 410, { error: { message: 'cancelled' } })
+		else this.sendRun(run, action === 'stream', response)
 	}
 
-	private report(): Record<string, unknown> {
+	private laggedLoadReport(): Record<string, unknown> {
 		const at = Date.now()
-		this.reports.push({
+		this.loadReports.push({
 			at,
-			running: this.scheduler.running(),
-			waiting: this.scheduler.queued(),
+			running: this.scheduler.runningCount(),
+			waiting: this.scheduler.queuedCount(),
 		})
-		const old = this.reports.filter((entry) => entry.at <= at - this.reportLagMs).at(-1)
+		const old = this.loadReports.filter((entry) => entry.at <= at - this.reportLagMs).at(-1)
 		const chosen = old ?? { at, running: 0, waiting: 0 }
-		this.reports = this.reports.filter((entry) => entry.at >= chosen.at)
+		this.loadReports = this.loadReports.filter((entry) => entry.at >= chosen.at)
 		return { ...chosen, leaving: this.faults.leaving }
 	}
 }
 
 function usageOf(run: EngineRun): Record<string, unknown> {
-	const usage = { prompt_tokens: run.promptTokens, completion_tokens: run.produced }
+	const usage = { prompt_tokens: run.promptTokens, completion_tokens: run.producedTokens }
 	return { usage }
 }
 
-function tokenText(run: EngineRun, i: number): string {
+function formatToken(run: EngineRun, i: number): string {
 	return `${run.id.slice(-6)}:${i} `
 }
 
-function tokenEvent(run: EngineRun, i: number): string {
-	const delta = { choices: [{ index: 0, delta: { content: tokenText(run, i) } }] }
+function formatTokenEvent(run: EngineRun, i: number): string {
+	const delta = { choices: [{ index: 0, delta: { content: formatToken(run, i) } }] }
 	return `data: ${JSON.stringify({ object: 'chat.completion.chunk', ...delta })}\n\n`
 }
 
-function lastEvents(run: EngineRun): string {
+function formatFinalEvents(run: EngineRun): string {
 	const last = { choices: [{ index: 0, delta: {}, finish_reason: 'stop' }], ...usageOf(run) }
 	return `data: ${JSON.stringify({ object: 'chat.completion.chunk', ...last })}\n\ndata: [DONE]\n\n`
 }
 
-function wholeAnswer(run: EngineRun): Record<string, unknown> {
+function toCompletion(run: EngineRun): Record<string, unknown> {
 	let content = ''
-	for (let i = 0; i < run.produced; i++) content += tokenText(run, i)
+	for (let i = 0; i < run.producedTokens; i++) content += formatToken(run, i)
 	const message = { role: 'assistant', content }
 	return {
 		object: 'chat.completion',
--- a/packages/standins/src/lib/startPlatform.ts
+++ b/packages/standins/src/lib/startPlatform.ts
@@ -40,7 +40,7 @@
 	writesPerSecond: 100,
 	readsPerSecond: 2_000,
 }
-const EXPIRY_PERIOD_MS = 50
+const EXPIRY_INTERVAL_MS = 50
 const SECOND_MS = 1_000
 
 /** The platform's key-value service and box list over HTTP. @public */
@@ -52,7 +52,7 @@
 	const { running } = await listen((request, response) => {
 		platform.handle(request, response).catch(() => response.destroy())
 	}, port)
-	const timer = setInterval(() => platform.expire(), EXPIRY_PERIOD_MS)
+	const timer = setInterval(() => platform.expire(), EXPIRY_INTERVAL_MS)
 	return {
 		url: running.url,
 		close: () => {
@@ -65,10 +65,10 @@
 class PlatformServer {
 	private readonly store = new KvStore()
 	private faults: PlatformFaults = { ...NO_FAULTS }
-	private second = 0
-	private readonly used = { reads: 0, writes: 0 }
-	private refused = 0
-	private boxes: { at: number; rows: ListedBox[] }[] = [{ at: 0, rows: [] }]
+	private currentSecond = 0
+	private readonly callsThisSecond = { reads: 0, writes: 0 }
+	private refusedCalls = 0
+	private boxLists: { publishedAt: number; boxes: ListedBox[] }[] = [{ publishedAt: 0, boxes: [] }]
 
 	constructor(private readonly listLagMs: number) {}
 
@@ -80,7 +80,7 @@
 		const url = new URL(request.url ?? '/', 'http://platform')
 		const body = await readBody(request)
 		if (url.pathname.startsWith('/standin/')) {
-			this.control(url.pathname, request.method ?? 'GET', body, response)
+			this.handleControl(url.pathname, request.method ?? 'GET', body, response)
 			return
 		}
 		if (this.faults.latencyMs > 0) await sleep(this.faults.latencyMs)
@@ -89,16 +89,16 @@
 			return
 		}
 		if (url.pathname === '/v1/boxes') {
-			sendJson(response, 200, { boxes: this.listed() })
+			sendJson(response, 200, { boxes: this.visibleBoxes() })
 			return
 		}
-		const op = readOp(url, request.method ?? 'GET', body)
+		const op = parseOp(url, request.method ?? 'GET', body)
 		if (!op) sendJson(response, 400, { error: 'unknown call' })
-		else if (!this.admit(op)) sendJson(response, 429, {}, { 'retry-after': '1' })
-		else this.answer(op, response)
+		else if (!this.admitCall(op)) sendJson(response, 429, {}, { 'retry-after': '1' })
+		else this.respond(op, response)
 	}
 
-	private answer(op: PlatformOp, response: ServerResponse): void {
+	private respond(op: PlatformOp, response: ServerResponse): void {
 		this.store.call(op, Date.now(), (result) => {
 			const isWrite = op.kind !== 'get' && op.kind !== 'watch'
 			if (this.faults.outage || (isWrite && this.faults.loseAnswers > 0)) {
@@ -111,44 +111,51 @@
 	}
 
 	/** Counts a call against the rates of this second. */
-	private admit(op: PlatformOp): boolean {
+	private admitCall(op: PlatformOp): boolean {
 		const second = Math.floor(Date.now() / SECOND_MS)
-		if (second !== this.second) {
-			this.second = second
-			this.used.reads = 0
-			this.used.writes = 0
+		if (second !== this.currentSecond) {
+			this.currentSecond = second
+			this.callsThisSecond.reads = 0
+			this.callsThisSecond.writes = 0
 		}
 		const kind = op.kind === 'get' || op.kind === 'watch' ? 'reads' : 'writes'
 		const limit = kind === 'reads' ? this.faults.readsPerSecond : this.faults.writesPerSecond
-		const admitted = limit === 0 || this.used[kind] < limit
-		if (admitted) this.used[kind]++
-		else this.refused++
+		const admitted = limit === 0 || this.callsThisSecond[kind] < limit
+		if (admitted) this.callsThisSecond[kind]++
+		else this.refusedCalls++
 		return admitted
 	}
 
-	private control(path: string, method: string, body: string, response: ServerResponse): void {
+	private handleControl(
+		path: string,
+		method: string,
+		body: string,
+		response: ServerResponse,
+	): void {
 		if (path === '/standin/faults' && method === 'POST') {
 			this.faults = { ...this.faults, ...(JSON.parse(body) as Partial<PlatformFaults>) }
 			sendJson(response, 200, this.faults)
 		} else if (path === '/standin/counts') {
-			sendJson(response, 200, { ...this.store.counts, refused: this.refused })
+			sendJson(response, 200, { ...this.store.counts, refused: this.refusedCalls })
 		} else if (path === '/standin/list') {
 			sendJson(response, 200, this.store.list(''))
 		} else if (path === '/standin/boxes' && method === 'POST') {
-			this.boxes.push({ at: Date.now(), rows: JSON.parse(body) as ListedBox[] })
+			this.boxLists.push({ publishedAt: Date.now(), boxes: JSON.parse(body) as ListedBox[] })
 			sendJson(response, 200, {})
 		} else {
 			sendJson(response, 404, {})
 		}
 	}
 
-	private listed(): ListedBox[] {
-		const visible = this.boxes.filter((entry) => entry.at <= Date.now() - this.listLagMs)
-		return visible.at(-1)?.rows ?? []
+	private visibleBoxes(): ListedBox[] {
+		const visible = this.boxLists.filter(
+			(entry) => entry.publishedAt <= Date.now() - this.listLagMs,
+		)
+		return visible.at(-1)?.boxes ?? []
 	}
 }
 
-function readOp(url: URL, method: string, body: string): PlatformOp | undefined {
+function parseOp(url: URL, method: string, body: string): PlatformOp | undefined {
 	const [, , kind, rest = '', action] = url.pathname.split('/')
 	const name = decodeURIComponent(rest)
 	if (kind === 'kv' && method === 'GET') return { kind: 'get', key: name }
--- a/packages/standins/src/lib/startService.ts
+++ b/packages/standins/src/lib/startService.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { listen, readBody, sendJson, sleep, type RunningStandin } from './httpHelpers.js'
-import { NO_TARGET_FAULTS, takeFault, type TargetFaults } from './targetFaults.js'
+import { NO_TARGET_FAULTS, consumeFault, type TargetFaults } from './targetFaults.js'
 
 /** Options of a plain-service stand-in. @public */
 export interface ServiceOptions {
@@ -17,7 +17,7 @@
 }
 
 class ServiceServer {
-	private readonly counts = new Map<string, number>()
+	private readonly runCounts = new Map<string, number>()
 	private faults: TargetFaults = { ...NO_TARGET_FAULTS }
 	private inFlight = 0
 
@@ -29,32 +29,32 @@
 			const report = { at: Date.now(), running: this.inFlight, waiting: 0, leaving }
 			sendJson(response, 200, report)
 		} else if (path === '/standin/runs') {
-			sendJson(response, 200, Object.fromEntries(this.counts))
+			sendJson(response, 200, Object.fromEntries(this.runCounts))
 		} else if (path === '/standin/faults') {
 			this.faults = { ...this.faults, ...(JSON.parse(text) as Partial<TargetFaults>) }
 			sendJson(response, 200, this.faults)
 		} else {
-			await this.run(request, path, text, response)
+			await this.handleRun(request, path, text, response)
 		}
 	}
 
-	private async run(
+	private async handleRun(
 		request: IncomingMessage,
 		path: string,
 		text: string,
 		response: ServerResponse,
 	): Promise<void> {
-		if (takeFault(this.faults, 'refuse')) {
+		if (consumeFault(this.faults, 'refuse')) {
 			sendJson(response, 503, { error: 'overloaded' }, { 'retry-after': '1' })
 			return
 		}
 		const id = String(request.headers['x-request-id'] ?? 'anonymous')
-		this.counts.set(id, (this.counts.get(id) ?? 0) + 1)
+		this.runCounts.set(id, (this.runCounts.get(id) ?? 0) + 1)
 		this.inFlight++
 		if (this.faults.delayMs > 0) await sleep(this.faults.delayMs)
 		this.inFlight--
-		if (takeFault(this.faults, 'closeEarly')) response.destroy()
-		else if (!takeFault(this.faults, 'stall'))
+		if (consumeFault(this.faults, 'closeEarly')) response.destroy()
+		else if (!consumeFault(this.faults, 'stall'))
 			sendJson(response, 200, { id, method: request.method, path, bytes: text.length })
 	}
 }
--- a/packages/standins/src/lib/targetFaults.ts
+++ b/packages/standins/src/lib/targetFaults.ts
@@ -28,7 +28,7 @@
 }
 
 /** Takes one off a counted fault; true where it is to be shown now. */
-export function takeFault(
+export function consumeFault(
 	faults: TargetFaults,
 	name: 'refuse' | 'closeEarly' | 'stall' | 'rubbish' | 'tooMuch',
 ): boolean {
--- a/packages/store/src/lib/BundleStore.ts
+++ b/packages/store/src/lib/BundleStore.ts
@@ -1,5 +1,5 @@
 import {
-	HEAD_KEY,
+	BUNDLE_HEAD_KEY,
 	emptyShard,
 	freeInShard,
 	outstandingInShard,
@@ -50,7 +50,7 @@
 
 	/** Reads the accepted version and the revision of the head. */
 	async head(): Promise<{ head: BundleHead | undefined; revision: number }> {
-		const found = await this.platform.read(HEAD_KEY)
+		const found = await this.platform.read(BUNDLE_HEAD_KEY)
 		return { head: found?.value as BundleHead | undefined, revision: found?.revision ?? 0 }
 	}
 
@@ -119,7 +119,7 @@
 		const newHead: BundleHead = { version: bundle.version, hash }
 		const result = await this.platform.call({
 			kind: 'cas',
-			key: HEAD_KEY,
+			key: BUNDLE_HEAD_KEY,
 			expected: revision,
 			value: newHead,
 		})
--- a/packages/telemetry/src/lib/BoundedLog.ts
+++ b/packages/telemetry/src/lib/BoundedLog.ts
@@ -11,12 +11,12 @@
 	/** Steady clock, in ms. */
 	readonly now: () => number
 	/** Calls back after some ms. */
-	readonly later: (callback: () => void, ms: number) => void
+	readonly schedule: (callback: () => void, ms: number) => void
 }
 
 /** Characters that wait at most when nobody reads the output. */
-const MOST_WAITING = 256 * 1024
-const BATCH_MS = 100
+const MAX_BUFFERED_CHARS = 256 * 1024
+const FLUSH_DELAY_MS = 100
 const SECOND_MS = 1_000
 
 /**
@@ -25,48 +25,48 @@
  * @public
  */
 export class BoundedLog {
-	private waiting: string[] = []
-	private waitingChars = 0
-	private writing = false
-	private scheduled = false
-	private dropped = 0
+	private bufferedLines: string[] = []
+	private bufferedChars = 0
+	private isWriting = false
+	private isFlushScheduled = false
+	private droppedLines = 0
 	private linesThisSecond = 0
-	private secondBegan = Number.NEGATIVE_INFINITY
+	private secondStartedAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly options: BoundedLogOptions) {}
 
 	log(event: LogEvent): void {
-		if (!this.admits()) {
-			this.dropped++
+		if (!this.admitLine()) {
+			this.droppedLines++
 			return
 		}
 		this.append(event)
-		this.schedule()
+		this.scheduleFlush()
 	}
 
 	/** Hands all waiting lines to the output at once: the process is about to end. */
 	flush(): void {
-		if (this.dropped > 0) this.appendDropped()
-		if (this.waiting.length === 0 || this.writing) return
-		const batch = this.waiting.join('')
-		this.waiting = []
-		this.waitingChars = 0
-		this.writing = true
+		if (this.droppedLines > 0) this.appendDroppedCount()
+		if (this.bufferedLines.length === 0 || this.isWriting) return
+		const batch = this.bufferedLines.join('')
+		this.bufferedLines = []
+		this.bufferedChars = 0
+		this.isWriting = true
 		this.options.write(batch, () => {
-			this.writing = false
-			if (this.waiting.length > 0) this.schedule()
+			this.isWriting = false
+			if (this.bufferedLines.length > 0) this.scheduleFlush()
 		})
 	}
 
-	private admits(): boolean {
+	private admitLine(): boolean {
 		const now = this.options.now()
-		if (now - this.secondBegan >= SECOND_MS) {
-			this.secondBegan = now
+		if (now - this.secondStartedAt >= SECOND_MS) {
+			this.secondStartedAt = now
 			this.linesThisSecond = 0
 		}
 		this.linesThisSecond++
 		if (this.linesThisSecond > this.options.linesPerSecond) return false
-		return this.waitingChars < MOST_WAITING
+		return this.bufferedChars < MAX_BUFFERED_CHARS
 	}
 
 	private append(event: LogEvent): void {
@@ -79,22 +79,22 @@
 			zone: this.options.zone,
 			...event.fields,
 		})
-		this.waiting.push(`${line}\n`)
-		this.waitingChars += line.length + 1
+		this.bufferedLines.push(`${line}\n`)
+		this.bufferedChars += line.length + 1
 	}
 
-	private appendDropped(): void {
-		const lines = this.dropped
-		this.dropped = 0
+	private appendDroppedCount(): void {
+		const lines = this.droppedLines
+		this.droppedLines = 0
 		this.append({ name: 'log-lines-dropped', fields: { lines } })
 	}
 
-	private schedule(): void {
-		if (this.scheduled || this.writing) return
-		this.scheduled = true
-		this.options.later(() => {
-			this.scheduled = false
+	private scheduleFlush(): void {
+		if (this.isFlushScheduled || this.isWriting) return
+		this.isFlushScheduled = true
+		this.options.schedule(() => {
+			this.isFlushScheduled = false
 			this.flush()
-		}, BATCH_MS)
+		}, FLUSH_DELAY_MS)
 	}
 }
--- a/packages/telemetry/src/lib/Metrics.ts
+++ b/packages/telemetry/src/lib/Metrics.ts
@@ -1,6 +1,6 @@
 import { build, type Histogram } from 'hdr-histogram-js'
 
-const HIGHEST_MS = 600_000
+const MAX_DURATION_MS = 600_000
 const PERCENTILES = [50, 90, 99, 99.9]
 
 /** Counters and latency histograms in Prometheus text. @public */
@@ -15,13 +15,16 @@
 	}
 
 	/** Notes a duration, in ms. */
-	time(name: string, ms: number): void {
+	recordDuration(name: string, ms: number): void {
 		let histogram = this.histograms.get(name)
 		if (!histogram) {
-			histogram = build({ highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: 2 })
+			histogram = build({
+				highestTrackableValue: MAX_DURATION_MS,
+				numberOfSignificantValueDigits: 2,
+			})
 			this.histograms.set(name, histogram)
 		}
-		histogram.recordValue(Math.min(HIGHEST_MS, Math.max(0, Math.round(ms))))
+		histogram.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, Math.round(ms))))
 	}
 
 	/** All metrics, with gauges that the caller has at hand. */
--- a/packages/telemetry/src/lib/CallTally.ts
+++ b/packages/telemetry/src/lib/StoreCallCounter.ts
@@ -6,7 +6,7 @@
  * call is paid for.
  * @public
  */
-export class CallTally {
+export class StoreCallCounter {
 	private readonly counts = new Map<string, number>()
 
 	constructor(private readonly metrics: Metrics) {}
@@ -18,7 +18,7 @@
 	}
 
 	/** What was counted since the last report; undefined where there was nothing. */
-	report(): LogEvent | undefined {
+	takeReport(): LogEvent | undefined {
 		if (this.counts.size === 0) return undefined
 		const fields = Object.fromEntries(this.counts)
 		this.counts.clear()
--- a/packages/telemetry/src/lib/writeInPieces.test.ts
+++ b/packages/telemetry/src/lib/writeInChunks.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
-import { writeInPieces } from './writeInPieces.js'
+import { writeInChunks } from './writeInChunks.js'
 
 describe('writeInPieces', () => {
 	let folder: string
@@ -17,7 +17,7 @@
 		const file = join(folder, 'out')
 		const descriptor = openSync(file, 'w')
 		const text = Array.from({ length: 3_000 }, (_, i) => `line ${i} ä\n`).join('')
-		await new Promise<void>((resolve) => writeInPieces(descriptor, text, resolve))
+		await new Promise<void>((resolve) => writeInChunks(descriptor, text, resolve))
 		closeSync(descriptor)
 		expect(readFileSync(file, 'utf8')).toBe(text)
 	})
@@ -25,6 +25,6 @@
 	it('ends where nobody reads any more', async () => {
 		const descriptor = openSync(join(folder, 'out'), 'w')
 		closeSync(descriptor)
-		await new Promise<void>((resolve) => writeInPieces(descriptor, 'lost', resolve))
+		await new Promise<void>((resolve) => writeInChunks(descriptor, 'lost', resolve))
 	})
 })
