--- a/apps/stallwing/src/lib/CommandError.ts
+++ b/apps/stallwing/src/lib/CommandError.ts
@@ -1,5 +1,5 @@
 /** Exit codes of the command line; listed in `docs/operators/cli.md`. */
-export const EXIT = {
+export const EXIT_CODES = {
 	ok: 0,
 	/** Something failed that is not listed below. */
 	failure: 1,
@@ -17,7 +17,7 @@
 export class CommandError extends Error {
 	readonly kind = 'command-error'
 	constructor(
-		readonly exitCode: (typeof EXIT)[keyof typeof EXIT],
+		readonly exitCode: (typeof EXIT_CODES)[keyof typeof EXIT_CODES],
 		message: string,
 	) {
 		super(message)
--- a/apps/stallwing/src/lib/OperatorConfig.ts
+++ b/apps/stallwing/src/lib/OperatorConfig.ts
@@ -3,9 +3,9 @@
 import { describeFileFault, locateFault, parseJsonc, PlatformClient } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
 import { z } from 'zod'
-import { CommandError, EXIT } from './CommandError.js'
+import { CommandError, EXIT_CODES } from './CommandError.js'
 
-const schema = z.strictObject({
+const operatorConfigSchema = z.strictObject({
 	platform: z.string().url(),
 	operator: z.strictObject({ name: z.string(), privateKeyFile: z.string() }).optional(),
 	operators: z.array(z.strictObject({ name: z.string(), publicKey: z.string() })).default([]),
@@ -13,33 +13,33 @@
 })
 
 /** An operator's own settings. */
-export type OperatorConfig = z.infer<typeof schema>
+export type OperatorConfig = z.infer<typeof operatorConfigSchema>
 
 /** File name that is used where none is given. */
-export const DEFAULT_OPERATOR_FILE = 'stallwing-operator.jsonc'
+export const DEFAULT_OPERATOR_CONFIG_FILE = 'stallwing-operator.jsonc'
 const PLATFORM_TIMEOUT_MS = 3_000
 
 /** Reads a text file. @throws CommandError where it is missing. */
-export function readText(file: string): string {
-	if (!existsSync(file)) throw new CommandError(EXIT.invalid, `${file}: no such file`)
+export function readTextFile(file: string): string {
+	if (!existsSync(file)) throw new CommandError(EXIT_CODES.invalid, `${file}: no such file`)
 	return readFileSync(file, 'utf8')
 }
 
 /** Reads and checks the operator's settings. @throws CommandError listing every fault. */
 export function loadOperatorConfig(file: string): OperatorConfig {
-	const text = readText(file)
+	const text = readTextFile(file)
 	const parsed = parseJsonc(file, text)
-	if (E.isLeft(parsed)) throw new CommandError(EXIT.invalid, listFaults(parsed.left))
-	const result = schema.safeParse(parsed.right)
-	if (result.success) return resolveKeys(file, result.data)
+	if (E.isLeft(parsed)) throw new CommandError(EXIT_CODES.invalid, formatFaults(parsed.left))
+	const result = operatorConfigSchema.safeParse(parsed.right)
+	if (result.success) return resolveKeyFile(file, result.data)
 	const faults = result.error.issues.map((issue) =>
 		locateFault(file, text, issue.path as (string | number)[], issue.message),
 	)
-	throw new CommandError(EXIT.invalid, listFaults(faults))
+	throw new CommandError(EXIT_CODES.invalid, formatFaults(faults))
 }
 
 /** Text of a list of file faults, a line each. */
-export function listFaults(
+export function formatFaults(
 	faults:
 		Parameters<typeof describeFileFault>[0][] | readonly Parameters<typeof describeFileFault>[0][],
 ): string {
@@ -60,13 +60,16 @@
 }
 
 /** The operator who signs. @throws CommandError where the settings name none. */
-export function signer(config: OperatorConfig): { name: string; privateKey: string } {
+export function requireSigner(config: OperatorConfig): { name: string; privateKey: string } {
 	if (!config.operator)
-		throw new CommandError(EXIT.invalid, 'the operator settings have no "operator" to sign with')
-	return { name: config.operator.name, privateKey: readText(config.operator.privateKeyFile) }
+		throw new CommandError(
+			EXIT_CODES.invalid,
+			'the operator settings have no "operator" to sign with',
+		)
+	return { name: config.operator.name, privateKey: readTextFile(config.operator.privateKeyFile) }
 }
 
-function resolveKeys(file: string, config: OperatorConfig): OperatorConfig {
+function resolveKeyFile(file: string, config: OperatorConfig): OperatorConfig {
 	if (!config.operator) return config
 	const privateKeyFile = resolve(dirname(file), config.operator.privateKeyFile)
 	return { ...config, operator: { ...config.operator, privateKeyFile } }
--- a/apps/stallwing/src/lib/commands/budgetCommands.ts
+++ b/apps/stallwing/src/lib/commands/budgetCommands.ts
@@ -16,10 +16,15 @@
 import { BundleStore, checkAccepted, signHash, type PlatformClient } from '@stallwing/store'
 import type { Command } from 'commander'
 import * as E from 'fp-ts/lib/Either.js'
-import { CommandError, EXIT } from '../CommandError.js'
-import { loadOperatorConfig, signer, withPlatform, type OperatorConfig } from '../OperatorConfig.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
+import {
+	loadOperatorConfig,
+	requireSigner,
+	withPlatform,
+	type OperatorConfig,
+} from '../OperatorConfig.js'
 import { print, printJson, printTable } from '../print.js'
-import { askRouters, type RouterStatus } from '../routerStatus.js'
+import { fetchStatuses, type RouterStatus } from '../routerStatus.js'
 
 interface BudgetRow {
 	readonly account: string
@@ -30,7 +35,7 @@
 	readonly inDoubt: number
 }
 
-interface BudgetSums {
+interface BudgetTotals {
 	billed: number
 	reserved: number
 	inDoubt: number
@@ -44,7 +49,7 @@
 		.description('what is paid, billed, reserved and in doubt')
 		.option('--json', 'print JSON')
 		.action((options: { json?: boolean }) =>
-			show(loadOperatorConfig(config()), options.json === true),
+			showBudgets(loadOperatorConfig(config()), options.json === true),
 		)
 	budget
 		.command('release')
@@ -53,14 +58,14 @@
 		.requiredOption('--box <box>', 'name of the box')
 		.requiredOption('--incarnation <id>', 'the start of the box that is gone')
 		.option('--yes', 'do not ask')
-		.action((options: ReleaseOptions) => release(loadOperatorConfig(config()), options))
+		.action((options: ReleaseOptions) => releaseInDoubt(loadOperatorConfig(config()), options))
 }
 
-async function show(config: OperatorConfig, json: boolean): Promise<void> {
+async function showBudgets(config: OperatorConfig, json: boolean): Promise<void> {
 	const rows = await withPlatform(config, async (platform) => {
-		const bundle = await acceptedBundle(platform, config)
-		const statuses = await askRouters(config.routers)
-		return budgetRows(platform, bundle, statuses)
+		const bundle = await loadAcceptedBundle(platform, config)
+		const statuses = await fetchStatuses(config.routers)
+		return readBudgetRows(platform, bundle, statuses)
 	})
 	if (json) printJson(rows)
 	else
@@ -70,29 +75,32 @@
 		)
 }
 
-async function acceptedBundle(platform: PlatformClient, config: OperatorConfig): Promise<Bundle> {
+async function loadAcceptedBundle(
+	platform: PlatformClient,
+	config: OperatorConfig,
+): Promise<Bundle> {
 	const document = await new BundleStore(platform).accepted()
 	const checked = document && checkAccepted(document, config.operators)
 	if (!checked || E.isLeft(checked))
-		throw new CommandError(EXIT.conflict, 'no valid version is in force')
+		throw new CommandError(EXIT_CODES.conflict, 'no valid version is in force')
 	return checked.right
 }
 
-async function budgetRows(
+async function readBudgetRows(
 	platform: PlatformClient,
 	bundle: Bundle,
 	statuses: readonly (RouterStatus | undefined)[],
 ): Promise<BudgetRow[]> {
-	const sums = new Map<string, BudgetSums>()
+	const sums = new Map<string, BudgetTotals>()
 	const prepaid = new Map<string, number>()
-	const live = liveBudgets(statuses)
+	const live = reportedBudgets(statuses)
 	for (let shard = 0; shard < bundle.policy.shardCount; shard++) {
 		const found = await platform.read(shardKey(shard))
 		const value = found?.value as BudgetShardValue | undefined
 		for (const [name, row] of Object.entries(value?.budgets ?? {})) prepaid.set(name, row.prepaid)
 		for (const zone of bundle.zones) {
 			const ledger = await platform.read(zoneKeys.ledger(zone.name, shard))
-			addLedger(sums, ledger?.value as ZoneLedgerValue | undefined, live)
+			addLedgerToTotals(sums, ledger?.value as ZoneLedgerValue | undefined, live)
 		}
 	}
 	return bundle.accounts.flatMap((account) =>
@@ -110,7 +118,7 @@
 }
 
 /** What running routers say, by `<box>#<incarnation>/<budget>`. */
-function liveBudgets(statuses: readonly (RouterStatus | undefined)[]) {
+function reportedBudgets(statuses: readonly (RouterStatus | undefined)[]) {
 	const live = new Map<string, { billed: number; reserved: number }>()
 	for (const status of statuses) {
 		if (!status) continue
@@ -121,8 +129,8 @@
 }
 
 /** A running router's own counters are newer than the ledger's. */
-function addLedger(
-	sums: Map<string, BudgetSums>,
+function addLedgerToTotals(
+	sums: Map<string, BudgetTotals>,
 	ledger: ZoneLedgerValue | undefined,
 	live: ReadonlyMap<string, { billed: number; reserved: number }>,
 ): void {
@@ -146,14 +154,14 @@
 	readonly yes?: boolean
 }
 
-const CAS_TRIES = 8
+const MAX_CAS_ATTEMPTS = 8
 
-async function release(config: OperatorConfig, options: ReleaseOptions): Promise<void> {
-	const { name, privateKey } = signer(config)
+async function releaseInDoubt(config: OperatorConfig, options: ReleaseOptions): Promise<void> {
+	const { name, privateKey } = requireSigner(config)
 	await confirm(options)
 	const key = entryKey(options.box as BoxName, options.incarnation as Incarnation)
 	await withPlatform(config, async (platform) => {
-		const bundle = await acceptedBundle(platform, config)
+		const bundle = await loadAcceptedBundle(platform, config)
 		const statement = `release ${options.zone} ${key} ${new Date().toISOString()}`
 		const audit = { statement, ...signHash(statement, name, privateKey) }
 		await platform.call({
@@ -175,7 +183,7 @@
 	const question = `Is the machine of ${options.box} really gone? Type its name to go on: `
 	const answer = await prompt.question(question)
 	prompt.close()
-	if (answer.trim() !== options.box) throw new CommandError(EXIT.usage, 'not confirmed')
+	if (answer.trim() !== options.box) throw new CommandError(EXIT_CODES.usage, 'not confirmed')
 }
 
 async function releaseInShard(
@@ -185,7 +193,7 @@
 	key: string,
 ): Promise<number> {
 	const ledgerKey = zoneKeys.ledger(zone as Parameters<typeof zoneKeys.ledger>[0], shard)
-	for (let i = 0; i < CAS_TRIES; i++) {
+	for (let i = 0; i < MAX_CAS_ATTEMPTS; i++) {
 		const found = await platform.read(ledgerKey)
 		if (!found) return 0
 		const value = found.value as ZoneLedgerValue
@@ -203,5 +211,8 @@
 		})
 		if (result.kind === 'written') return freed
 	}
-	throw new CommandError(EXIT.unavailable, `the ledger of shard ${shard} could not be written`)
+	throw new CommandError(
+		EXIT_CODES.unavailable,
+		`the ledger of shard ${shard} could not be written`,
+	)
 }
--- a/apps/stallwing/src/lib/commands/bundleCommands.ts
+++ b/apps/stallwing/src/lib/commands/bundleCommands.ts
@@ -15,19 +15,19 @@
 } from '@stallwing/store'
 import type { Command } from 'commander'
 import * as E from 'fp-ts/lib/Either.js'
-import { CommandError, EXIT } from '../CommandError.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { diffBundles } from '../diffBundles.js'
 import {
-	listFaults,
+	formatFaults,
 	loadOperatorConfig,
-	readText,
-	signer,
+	readTextFile,
+	requireSigner,
 	withPlatform,
 	type OperatorConfig,
 } from '../OperatorConfig.js'
 import { print, printJson } from '../print.js'
 
-const TEMPLATE = fileURLToPath(new URL('../../../templates/bundle.jsonc', import.meta.url))
+const TEMPLATE_FILE = fileURLToPath(new URL('../../../templates/bundle.jsonc', import.meta.url))
 
 /** Adds `stallwing bundle …`. */
 export function addBundleCommands(program: Command, config: () => string): void {
@@ -65,51 +65,51 @@
 		.command('status')
 		.description('the version in force')
 		.option('--json', 'print JSON')
-		.action((options: { json?: boolean }) => status(load(), options.json === true))
+		.action((options: { json?: boolean }) => showStatus(load(), options.json === true))
 	bundle
 		.command('diff')
 		.description('what a file would change of the version in force')
 		.argument('<file>')
-		.action((file: string) => diff(load(), file))
+		.action((file: string) => showDiff(load(), file))
 }
 
 function initBundle(file: string): void {
-	if (existsSync(file)) throw new CommandError(EXIT.conflict, `${file} is there already`)
-	writeFileSync(file, readFileSync(TEMPLATE, 'utf8'))
+	if (existsSync(file)) throw new CommandError(EXIT_CODES.conflict, `${file} is there already`)
+	writeFileSync(file, readFileSync(TEMPLATE_FILE, 'utf8'))
 	print(`wrote ${file}`)
 }
 
 /** Reads and checks a bundle file. @throws CommandError listing every fault. */
 export function readBundle(file: string): Bundle {
-	const text = readText(file)
+	const text = readTextFile(file)
 	const parsed = parseJsonc(file, text)
-	if (E.isLeft(parsed)) throw new CommandError(EXIT.invalid, listFaults(parsed.left))
+	if (E.isLeft(parsed)) throw new CommandError(EXIT_CODES.invalid, formatFaults(parsed.left))
 	const result = validateBundle(parsed.right)
 	if (E.isRight(result)) return result.right
 	const faults = result.left.map((fault) => locateFault(file, text, fault.path, fault.expected))
-	throw new CommandError(EXIT.invalid, listFaults(faults))
+	throw new CommandError(EXIT_CODES.invalid, formatFaults(faults))
 }
 
 async function propose(config: OperatorConfig, file: string): Promise<void> {
 	const text = JSON.stringify(readBundle(file))
 	const hash = hashText(text)
-	const { name, privateKey } = signer(config)
+	const { name, privateKey } = requireSigner(config)
 	const document = { text, hash, author: signHash(hash, name, privateKey) }
-	valid(checkProposal(document, config.operators))
+	requireValid(checkProposal(document, config.operators))
 	await withPlatform(config, async (platform) => {
-		done(await new BundleStore(platform).propose(document))
+		requireStored(await new BundleStore(platform).propose(document))
 	})
 	print(hash)
 }
 
 async function approve(config: OperatorConfig, hash: string): Promise<void> {
-	const { name, privateKey } = signer(config)
+	const { name, privateKey } = requireSigner(config)
 	await withPlatform(config, async (platform) => {
 		const store = new BundleStore(platform)
-		const document = await read(store, hash)
+		const document = await readProposal(store, hash)
 		const approval = signHash(hash, name, privateKey)
-		valid(checkAccepted({ ...document, approval }, config.operators))
-		done(await store.approve(hash, approval))
+		requireValid(checkAccepted({ ...document, approval }, config.operators))
+		requireStored(await store.approve(hash, approval))
 	})
 	print(`${hash} is approved by ${name}`)
 }
@@ -117,13 +117,13 @@
 async function accept(config: OperatorConfig, hash: string): Promise<void> {
 	await withPlatform(config, async (platform) => {
 		const store = new BundleStore(platform)
-		const bundle = valid(checkAccepted(await read(store, hash), config.operators))
-		const head = done(await store.accept(bundle, hash))
+		const bundle = requireValid(checkAccepted(await readProposal(store, hash), config.operators))
+		const head = requireStored(await store.accept(bundle, hash))
 		print(`version ${head.version} is in force`)
 	})
 }
 
-async function status(config: OperatorConfig, json: boolean): Promise<void> {
+async function showStatus(config: OperatorConfig, json: boolean): Promise<void> {
 	await withPlatform(config, async (platform) => {
 		const { head } = await new BundleStore(platform).head()
 		if (json) printJson(head ?? null)
@@ -131,30 +131,33 @@
 	})
 }
 
-async function diff(config: OperatorConfig, file: string): Promise<void> {
+async function showDiff(config: OperatorConfig, file: string): Promise<void> {
 	const next = readBundle(file)
 	await withPlatform(config, async (platform) => {
 		const document = await new BundleStore(platform).accepted()
-		const current = document && valid(checkAccepted(document, config.operators))
+		const current = document && requireValid(checkAccepted(document, config.operators))
 		for (const line of diffBundles(current, next)) print(line)
 	})
 }
 
-async function read(store: BundleStore, hash: string): Promise<BundleDocument> {
+async function readProposal(store: BundleStore, hash: string): Promise<BundleDocument> {
 	const document = await store.document(hash)
-	if (!document) throw new CommandError(EXIT.invalid, `no bundle ${hash} is proposed`)
+	if (!document) throw new CommandError(EXIT_CODES.invalid, `no bundle ${hash} is proposed`)
 	return document
 }
 
-function valid<T>(result: E.Either<readonly DocumentFault[], T>): T {
+function requireValid<T>(result: E.Either<readonly DocumentFault[], T>): T {
 	if (E.isRight(result)) return result.right
-	throw new CommandError(EXIT.invalid, result.left.map((fault) => JSON.stringify(fault)).join('\n'))
+	throw new CommandError(
+		EXIT_CODES.invalid,
+		result.left.map((fault) => JSON.stringify(fault)).join('\n'),
+	)
 }
 
-function done<T>(result: E.Either<BundleStoreFault, T>): T {
+function requireStored<T>(result: E.Either<BundleStoreFault, T>): T {
 	if (E.isRight(result)) return result.right
 	const fault = result.left
-	const code = fault.kind === 'no-answer' ? EXIT.unavailable : EXIT.conflict
+	const code = fault.kind === 'no-answer' ? EXIT_CODES.unavailable : EXIT_CODES.conflict
 	throw new CommandError(code, describeStoreFault(fault))
 }
 
--- a/apps/stallwing/src/lib/commands/lossesCommand.test.ts
+++ b/apps/stallwing/src/lib/commands/lossesCommand.test.ts
@@ -1,6 +1,6 @@
 import { Command, CommanderError } from 'commander'
 import { describe, expect, it } from 'vitest'
-import { CommandError, EXIT } from '../CommandError.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { addLossesCommand } from './lossesCommand.js'
 
 function run(...words: string[]): Promise<unknown> {
@@ -15,7 +15,7 @@
 	it('refuses a file that is not there and an option that is not known', async () => {
 		await expect(run('no-such-file.log')).rejects.toMatchObject({
 			kind: 'command-error',
-			exitCode: EXIT.usage,
+			exitCode: EXIT_CODES.usage,
 		})
 		await expect(run('no-such-file.log')).rejects.toBeInstanceOf(CommandError)
 		await expect(run('--colour')).rejects.toBeInstanceOf(CommanderError)
--- a/apps/stallwing/src/lib/commands/lossesCommand.ts
+++ b/apps/stallwing/src/lib/commands/lossesCommand.ts
@@ -2,21 +2,21 @@
 import type { Readable } from 'node:stream'
 import { createInterface } from 'node:readline'
 import type { Command } from 'commander'
-import { CommandError, EXIT } from '../CommandError.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { print, printJson, printTable } from '../print.js'
 import {
 	LOSS_GROUPS,
-	LossLedger,
-	lostIn,
-	sortedCauses,
+	LossCounter,
+	countLost,
+	sortCauses,
 	type LossReport,
-} from '../losses/LossLedger.js'
+} from '../losses/LossCounter.js'
 import { renderLossChart } from '../losses/renderLossChart.js'
 
 /** Rows of a table by route, account, zone or box that are printed at most. */
-const MOST_ROWS = 12
+const MAX_ROWS_PER_TABLE = 12
 /** Causes that are named in a row. */
-const MOST_CAUSES = 4
+const MAX_CAUSES_PER_ROW = 4
 
 interface LossesOptions {
 	readonly json?: boolean
@@ -31,24 +31,24 @@
 		.argument('[files...]', 'log files; standard input where none is named')
 		.option('--json', 'print JSON')
 		.option('--svg <file>', 'write a chart of losses in time')
-		.action((files: string[], options: LossesOptions) => losses(files, options))
+		.action((files: string[], options: LossesOptions) => reportLosses(files, options))
 }
 
-async function losses(files: readonly string[], options: LossesOptions): Promise<void> {
-	const ledger = new LossLedger()
-	if (files.length === 0) await readInto(ledger, process.stdin, 'standard input')
-	for (const file of files) await readInto(ledger, createReadStream(file), file)
+async function reportLosses(files: readonly string[], options: LossesOptions): Promise<void> {
+	const ledger = new LossCounter()
+	if (files.length === 0) await addLines(ledger, process.stdin, 'standard input')
+	for (const file of files) await addLines(ledger, createReadStream(file), file)
 	const report = ledger.report()
 	if (options.svg !== undefined) writeChart(options.svg, report)
-	if (options.json) printJson(toDocument(report))
+	if (options.json) printJson(toJson(report))
 	else printReport(report)
 }
 
-async function readInto(ledger: LossLedger, input: Readable, name: string): Promise<void> {
+async function addLines(ledger: LossCounter, input: Readable, name: string): Promise<void> {
 	try {
 		for await (const line of createInterface({ input, crlfDelay: Infinity })) ledger.add(line)
 	} catch (error) {
-		throw new CommandError(EXIT.usage, `cannot read ${name}: ${String(error)}`)
+		throw new CommandError(EXIT_CODES.usage, `cannot read ${name}: ${String(error)}`)
 	}
 }
 
@@ -56,7 +56,7 @@
 	try {
 		writeFileSync(file, renderLossChart(report))
 	} catch (error) {
-		throw new CommandError(EXIT.usage, `cannot write ${file}: ${String(error)}`)
+		throw new CommandError(EXIT_CODES.usage, `cannot write ${file}: ${String(error)}`)
 	}
 }
 
@@ -70,16 +70,16 @@
 	)
 	for (const group of LOSS_GROUPS) {
 		print('')
-		const rows = report.groups[group].slice(0, MOST_ROWS).map(([key, counts]) => {
-			const named = sortedCauses(counts).filter(([cause]) => cause !== 'in-time')
-			const causes = named.slice(0, MOST_CAUSES).map(([cause, count]) => `${cause} ${count}`)
-			return [key === '' ? '-' : key, `${lostIn(counts)}`, causes.join(', ')]
+		const rows = report.groups[group].slice(0, MAX_ROWS_PER_TABLE).map(([key, counts]) => {
+			const named = sortCauses(counts).filter(([cause]) => cause !== 'in-time')
+			const causes = named.slice(0, MAX_CAUSES_PER_ROW).map(([cause, count]) => `${cause} ${count}`)
+			return [key === '' ? '-' : key, `${countLost(counts)}`, causes.join(', ')]
 		})
 		printTable([group, 'lost', 'largest causes'], rows)
 	}
 }
 
-function toDocument(report: LossReport): unknown {
+function toJson(report: LossReport): unknown {
 	return {
 		requests: report.requests,
 		repeated: report.repeated,
--- a/apps/stallwing/src/lib/commands/operatorCommands.ts
+++ b/apps/stallwing/src/lib/commands/operatorCommands.ts
@@ -1,7 +1,7 @@
 import { existsSync, writeFileSync } from 'node:fs'
 import { makeOperatorKey } from '@stallwing/store'
 import type { Command } from 'commander'
-import { CommandError, EXIT } from '../CommandError.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { print } from '../print.js'
 
 const PRIVATE_FILE_MODE = 0o600
@@ -15,7 +15,7 @@
 		.argument('<name>', 'name of the operator')
 		.argument('<file>', 'file for the private key')
 		.action((name: string, file: string) => {
-			if (existsSync(file)) throw new CommandError(EXIT.conflict, `${file} is there already`)
+			if (existsSync(file)) throw new CommandError(EXIT_CODES.conflict, `${file} is there already`)
 			const { publicKey, privateKey } = makeOperatorKey()
 			writeFileSync(file, privateKey, { mode: PRIVATE_FILE_MODE })
 			print(JSON.stringify({ name, publicKey }))
--- a/apps/stallwing/src/lib/commands/routerCommand.ts
+++ b/apps/stallwing/src/lib/commands/routerCommand.ts
@@ -1,7 +1,7 @@
 import { RouterDaemon, SettingsError, loadSettings, type RouterSettings } from '@stallwing/router'
 import type { Command } from 'commander'
-import { CommandError, EXIT } from '../CommandError.js'
-import { readText } from '../OperatorConfig.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
+import { readTextFile } from '../OperatorConfig.js'
 
 /** Adds `stallwing router`. */
 export function addRouterCommand(program: Command): void {
@@ -10,13 +10,13 @@
 		.description('run a router; logs go to the standard output, a JSON line each')
 		.requiredOption('--config <file>', 'settings of this box, JSON with comments')
 		.option('--ready-fd', 'print the addresses as the first line of the standard error')
-		.action((options: { config: string; readyFd?: boolean }) => run(options))
+		.action((options: { config: string; readyFd?: boolean }) => runRouter(options))
 }
 
-async function run(options: { config: string; readyFd?: boolean }): Promise<void> {
-	const daemon = new RouterDaemon(settings(options.config), {
+async function runRouter(options: { config: string; readyFd?: boolean }): Promise<void> {
+	const daemon = new RouterDaemon(loadRouterSettings(options.config), {
 		writeLog: (line) => process.stdout.write(line),
-		onExit: (clean) => process.exit(clean ? EXIT.ok : EXIT.failure),
+		onExit: (clean) => process.exit(clean ? EXIT_CODES.ok : EXIT_CODES.failure),
 	})
 	const addresses = await daemon.start()
 	if (options.readyFd) process.stderr.write(`${JSON.stringify(addresses)}\n`)
@@ -24,12 +24,12 @@
 	process.on('SIGINT', () => daemon.stop())
 }
 
-function settings(file: string): RouterSettings {
-	readText(file)
+function loadRouterSettings(file: string): RouterSettings {
+	readTextFile(file)
 	try {
 		return loadSettings(file)
 	} catch (error) {
-		if (error instanceof SettingsError) throw new CommandError(EXIT.invalid, error.message)
+		if (error instanceof SettingsError) throw new CommandError(EXIT_CODES.invalid, error.message)
 		throw error
 	}
 }
--- a/apps/stallwing/src/lib/commands/statusCommands.ts
+++ b/apps/stallwing/src/lib/commands/statusCommands.ts
@@ -1,8 +1,13 @@
 import type { Command } from 'commander'
-import { CommandError, EXIT } from '../CommandError.js'
+import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { loadOperatorConfig } from '../OperatorConfig.js'
 import { print, printJson, printTable } from '../print.js'
-import { askRouter, askRouters, requireRouters, type NoticedTarget } from '../routerStatus.js'
+import {
+	fetchFromRouter,
+	fetchStatuses,
+	requireRouters,
+	type NoticedTarget,
+} from '../routerStatus.js'
 
 /** Adds `stallwing status` and `stallwing explain`. */
 export function addStatusCommands(program: Command, config: () => string): void {
@@ -10,20 +15,20 @@
 		.command('status')
 		.description('the routers, their zones and versions')
 		.option('--json', 'print JSON')
-		.action((options: { json?: boolean }) => status(config(), options.json === true))
+		.action((options: { json?: boolean }) => showStatus(config(), options.json === true))
 	program
 		.command('explain')
 		.description('why a request ran where it ran, or why it was refused')
 		.argument('<request-id>', 'value of the stallwing-request-id header')
 		.option('--json', 'print JSON')
 		.action((request: string, options: { json?: boolean }) =>
-			explain(config(), request, options.json === true),
+			explainRequest(config(), request, options.json === true),
 		)
 }
 
-async function status(file: string, json: boolean): Promise<void> {
+async function showStatus(file: string, json: boolean): Promise<void> {
 	const urls = requireRouters(loadOperatorConfig(file).routers)
-	const statuses = await askRouters(urls)
+	const statuses = await fetchStatuses(urls)
 	if (json) {
 		printJson(statuses.map((row, i) => row ?? { url: urls[i], ready: false, answered: false }))
 		return
@@ -62,16 +67,16 @@
 	return `${target}(${rate.perSecond}/s, ${rate.share.perSecond.toFixed(2)}/s here)`
 }
 
-async function explain(file: string, request: string, json: boolean): Promise<void> {
+async function explainRequest(file: string, request: string, json: boolean): Promise<void> {
 	const urls = requireRouters(loadOperatorConfig(file).routers)
 	const path = `/explain?request=${encodeURIComponent(request)}`
 	const found = await Promise.all(
-		urls.map((url) => askRouter<Record<string, unknown>[]>(`${url}${path}`)),
+		urls.map((url) => fetchFromRouter<Record<string, unknown>[]>(`${url}${path}`)),
 	)
 	const lines = found.flatMap((part) => part ?? [])
 	lines.sort((a, b) => String(a.time).localeCompare(String(b.time)))
 	if (lines.length === 0)
-		throw new CommandError(EXIT.conflict, `no router remembers a request ${request}`)
+		throw new CommandError(EXIT_CODES.conflict, `no router remembers a request ${request}`)
 	if (json) {
 		printJson(lines)
 		return
--- a/apps/stallwing/src/lib/diffBundles.ts
+++ b/apps/stallwing/src/lib/diffBundles.ts
@@ -6,8 +6,8 @@
 export function diffBundles(current: Bundle | undefined, next: Bundle): string[] {
 	const lines: string[] = [`version ${current?.version ?? 0} -> ${next.version}`]
 	for (const section of SECTIONS) {
-		const before = rows(current?.[section] ?? [])
-		const after = rows(next[section])
+		const before = rowsByName(current?.[section] ?? [])
+		const after = rowsByName(next[section])
 		for (const [name, text] of after) {
 			const old = before.get(name)
 			if (old === undefined) lines.push(`+ ${section} ${name} ${text}`)
@@ -20,6 +20,6 @@
 	return lines
 }
 
-function rows(list: readonly { readonly name: string }[]): Map<string, string> {
+function rowsByName(list: readonly { readonly name: string }[]): Map<string, string> {
 	return new Map(list.map((row) => [row.name, JSON.stringify(row)]))
 }
--- a/apps/stallwing/src/lib/losses/LossLedger.test.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import { describe, expect, it } from 'vitest'
-import { LossLedger, lostIn } from './LossLedger.js'
+import { LossCounter, countLost } from './LossCounter.js'
 import { renderLossChart } from './renderLossChart.js'
 
 const START = Date.parse('2026-01-01T00:00:00.000Z')
@@ -29,7 +29,7 @@
 }
 
 function causesOf(...lines: string[]): Record<string, number> {
-	const ledger = new LossLedger()
+	const ledger = new LossCounter()
 	for (const line of lines) ledger.add(line)
 	return Object.fromEntries(ledger.report().causes)
 }
@@ -95,16 +95,16 @@
 			answered({ route: 'a' }),
 		]
 		for (const order of [lines, [...lines].reverse()]) {
-			const ledger = new LossLedger()
+			const ledger = new LossCounter()
 			for (const line of order) ledger.add(`  12.5 b-1 ${line}`)
 			const report = ledger.report()
 			expect(report.requests).toBe(3)
 			expect(report.repeated).toBe(1)
-			expect(report.groups.route.map(([key, counts]) => [key, lostIn(counts)])).toEqual([
+			expect(report.groups.route.map(([key, counts]) => [key, countLost(counts)])).toEqual([
 				['b', 2],
 				['a', 0],
 			])
-			expect(report.seconds.map(lostIn)).toEqual([1, 0, 1])
+			expect(report.seconds.map(countLost)).toEqual([1, 0, 1])
 			expect(renderLossChart(report)).toContain('refused-no-target')
 		}
 	})
@@ -117,7 +117,7 @@
 		)
 		fc.assert(
 			fc.property(fc.array(text), (lines) => {
-				const ledger = new LossLedger()
+				const ledger = new LossCounter()
 				for (const line of lines) ledger.add(line)
 				ledger.add(answered({}))
 				const report = ledger.report()
--- a/apps/stallwing/src/lib/losses/LossLedger.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.ts
@@ -9,7 +9,7 @@
 /** Requests by cause. */
 export type LossCounts = ReadonlyMap<LossCause, number>
 
-/** What a {@link LossLedger} found, largest first. */
+/** What a {@link LossCounter} found, largest first. */
 export interface LossReport {
 	/** Requests with an end, and those whose box was gone before it. */
 	readonly requests: number
@@ -29,20 +29,20 @@
 	readonly atMs: number
 }
 
-interface End {
+interface EndedRequest {
 	readonly cause: LossCause
 	readonly atMs: number
-	readonly by: Readonly<Record<LossGroup, string>>
+	readonly groupKeys: Readonly<Record<LossGroup, string>>
 }
 
-const SECOND_MS = 1_000
+const MS_PER_SECOND = 1_000
 const CAUSE_ORDER = new Map(LOSS_CAUSES.map((cause, i) => [cause, i]))
 
 /** Reads log lines of any number of boxes, in any order, and counts what became of each request. */
-export class LossLedger {
-	private readonly ends: End[] = []
-	private readonly open = new Map<string, OpenRequest>()
-	private readonly ended = new Set<string>()
+export class LossCounter {
+	private readonly ends: EndedRequest[] = []
+	private readonly openRequests = new Map<string, OpenRequest>()
+	private readonly endedRequests = new Set<string>()
 	private repeated = 0
 	private foreignLines = 0
 
@@ -54,20 +54,20 @@
 	}
 
 	report(): LossReport {
-		const lost = [...this.open].filter(([request]) => !this.ended.has(request))
-		const ends = [...this.ends, ...lost.map(([, open]) => endOfLost(open))]
+		const lost = [...this.openRequests].filter(([request]) => !this.endedRequests.has(request))
+		const ends = [...this.ends, ...lost.map(([, open]) => endOfUnfinished(open))]
 		return {
 			requests: ends.length,
 			repeated: this.repeated,
 			foreignLines: this.foreignLines,
-			causes: sortedCauses(countCauses(ends)),
+			causes: sortCauses(countCauses(ends)),
 			groups: {
-				route: groupBy(ends, 'route'),
-				account: groupBy(ends, 'account'),
-				zone: groupBy(ends, 'zone'),
-				box: groupBy(ends, 'box'),
+				route: countByGroup(ends, 'route'),
+				account: countByGroup(ends, 'account'),
+				zone: countByGroup(ends, 'zone'),
+				box: countByGroup(ends, 'box'),
 			},
-			seconds: bySecond(ends),
+			seconds: countBySecond(ends),
 		}
 	}
 
@@ -75,20 +75,25 @@
 		const { fields, box, zone, atMs } = line
 		const request = `${box} ${String(fields.request ?? '')}`
 		if (line.name === 'target-chosen') {
-			this.open.set(request, { box, zone, atMs })
+			this.openRequests.set(request, { box, zone, atMs })
 			return
 		}
 		const cause = causeOf(line)
 		if (cause === undefined) return
-		if (fields.request !== undefined) this.ended.add(request)
+		if (fields.request !== undefined) this.endedRequests.add(request)
 		if (typeof fields.sent === 'number' && fields.sent > 1) this.repeated++
-		const by = { route: textOf(fields.route), account: textOf(fields.account), zone, box }
-		this.ends.push({ cause, atMs, by })
+		const by = {
+			route: stringOrEmpty(fields.route),
+			account: stringOrEmpty(fields.account),
+			zone,
+			box,
+		}
+		this.ends.push({ cause, atMs, groupKeys: by })
 	}
 }
 
 /** Losses first, by their number; answers in time last. */
-export function sortedCauses(counts: LossCounts): (readonly [LossCause, number])[] {
+export function sortCauses(counts: LossCounts): (readonly [LossCause, number])[] {
 	const order = (cause: LossCause): number => CAUSE_ORDER.get(cause) ?? 0
 	return [...counts].sort(([a, m], [b, n]) => {
 		if (a === 'in-time' || b === 'in-time') return a === 'in-time' ? 1 : -1
@@ -97,47 +102,50 @@
 }
 
 /** Requests that were not answered in time. */
-export function lostIn(counts: LossCounts): number {
+export function countLost(counts: LossCounts): number {
 	let lost = 0
 	for (const [cause, count] of counts) if (cause !== 'in-time') lost += count
 	return lost
 }
 
-function endOfLost({ box, zone, atMs }: OpenRequest): End {
-	return { cause: 'failed-box-gone', atMs, by: { route: '', account: '', zone, box } }
+function endOfUnfinished({ box, zone, atMs }: OpenRequest): EndedRequest {
+	return { cause: 'failed-box-gone', atMs, groupKeys: { route: '', account: '', zone, box } }
 }
 
-function countCauses(ends: readonly End[]): LossCounts {
+function countCauses(ends: readonly EndedRequest[]): LossCounts {
 	const counts = new Map<LossCause, number>()
 	for (const { cause } of ends) counts.set(cause, (counts.get(cause) ?? 0) + 1)
 	return counts
 }
 
-function groupBy(ends: readonly End[], group: LossGroup): (readonly [string, LossCounts])[] {
-	const groups = new Map<string, End[]>()
+function countByGroup(
+	ends: readonly EndedRequest[],
+	group: LossGroup,
+): (readonly [string, LossCounts])[] {
+	const groups = new Map<string, EndedRequest[]>()
 	for (const end of ends) {
-		const key = end.by[group]
+		const key = end.groupKeys[group]
 		const known = groups.get(key)
 		if (known) known.push(end)
 		else groups.set(key, [end])
 	}
 	const rows = [...groups].map(([key, part]) => [key, countCauses(part)] as const)
-	return rows.sort(([, a], [, b]) => lostIn(b) - lostIn(a))
+	return rows.sort(([, a], [, b]) => countLost(b) - countLost(a))
 }
 
-function bySecond(ends: readonly End[]): LossCounts[] {
+function countBySecond(ends: readonly EndedRequest[]): LossCounts[] {
 	if (ends.length === 0) return []
 	const first = ends.reduce((least, { atMs }) => Math.min(least, atMs), Number.POSITIVE_INFINITY)
 	const last = ends.reduce((most, { atMs }) => Math.max(most, atMs), first)
-	const seconds = Math.floor((last - first) / SECOND_MS) + 1
-	const parts = Array.from({ length: Math.min(seconds, MOST_SECONDS) }, (): End[] => [])
-	for (const end of ends) parts[Math.floor((end.atMs - first) / SECOND_MS)]?.push(end)
+	const seconds = Math.floor((last - first) / MS_PER_SECOND) + 1
+	const parts = Array.from({ length: Math.min(seconds, MAX_SECONDS) }, (): EndedRequest[] => [])
+	for (const end of ends) parts[Math.floor((end.atMs - first) / MS_PER_SECOND)]?.push(end)
 	return parts.map(countCauses)
 }
 
 /** Seconds that are told apart at most: logs of a day are to be cut before. */
-const MOST_SECONDS = 7_200
+const MAX_SECONDS = 7_200
 
-function textOf(value: unknown): string {
+function stringOrEmpty(value: unknown): string {
 	return typeof value === 'string' ? value : ''
 }
--- a/apps/stallwing/src/lib/losses/causeOf.ts
+++ b/apps/stallwing/src/lib/losses/causeOf.ts
@@ -2,7 +2,7 @@
 import type { LogLine } from './readLogLine.js'
 
 /** Kinds of refusal, of both interfaces, by cause. */
-const REFUSALS: Readonly<Record<string, LossCause>> = {
+const CAUSE_BY_REFUSAL_KIND: Readonly<Record<string, LossCause>> = {
 	'budget-unknown': 'refused-budget-unknown',
 	'budget-spent': 'refused-budget-spent',
 	'budget-exhausted': 'refused-budget-spent',
@@ -20,8 +20,8 @@
 }
 
 /** Part of the time allowed after which it is the box that made an answer late. */
-const BOX_PART = 0.5
-const FIRST_ERROR_STATUS = 500
+const MAX_BOX_TIME_FRACTION = 0.5
+const MIN_ERROR_STATUS = 500
 
 /** What a line says of the end of a request; undefined where it is about something else. */
 export function causeOf({ name, fields }: LogLine): LossCause | undefined {
@@ -42,11 +42,11 @@
 }
 
 function causeOfAnswer(fields: LogLine['fields']): LossCause {
-	if (numberOf(fields.status) >= FIRST_ERROR_STATUS) return 'failed-status'
+	if (numberOf(fields.status) >= MIN_ERROR_STATUS) return 'failed-status'
 	const aim = numberOf(fields.aimMs)
 	if (aim <= 0) return 'in-time'
 	if (numberOf(fields.firstMs) > aim)
-		return numberOf(fields.sentMs) > BOX_PART * aim ? 'late-at-box' : 'late-at-target'
+		return numberOf(fields.sentMs) > MAX_BOX_TIME_FRACTION * aim ? 'late-at-box' : 'late-at-target'
 	const pauseAim = numberOf(fields.pauseAimMs)
 	return pauseAim > 0 && numberOf(fields.longestPauseMs) > pauseAim ? 'late-in-pause' : 'in-time'
 }
@@ -54,7 +54,7 @@
 function causeOfRefusal(fields: LogLine['fields']): LossCause {
 	const kind = String(fields.kind ?? fields.type ?? '')
 	if (kind === 'target-failed') return causeOfFailure(String(fields.detail ?? fields.message ?? ''))
-	return REFUSALS[kind] ?? 'refused-at-fault'
+	return CAUSE_BY_REFUSAL_KIND[kind] ?? 'refused-at-fault'
 }
 
 function causeOfFailure(cause: string): LossCause {
--- a/apps/stallwing/src/lib/losses/readLogLine.ts
+++ b/apps/stallwing/src/lib/losses/readLogLine.ts
@@ -15,7 +15,7 @@
 export function readLogLine(text: string): LogLine | undefined {
 	const start = text.indexOf('{')
 	if (start < 0) return undefined
-	const fields = parse(text.slice(start))
+	const fields = parseObject(text.slice(start))
 	if (!fields) return undefined
 	const { time, name, box, zone } = fields
 	if (typeof name !== 'string' || typeof box !== 'string' || typeof time !== 'string')
@@ -25,7 +25,7 @@
 	return { atMs, name, box, zone: typeof zone === 'string' ? zone : '', fields }
 }
 
-function parse(text: string): Record<string, unknown> | undefined {
+function parseObject(text: string): Record<string, unknown> | undefined {
 	try {
 		const value: unknown = JSON.parse(text)
 		return typeof value === 'object' && value !== null
--- a/apps/stallwing/src/lib/losses/renderLossChart.ts
+++ b/apps/stallwing/src/lib/losses/renderLossChart.ts
@@ -1,13 +1,13 @@
 import { scaleLinear } from 'd3-scale'
 import { line } from 'd3-shape'
 import type { LossCause } from './LossCause.js'
-import type { LossReport } from './LossLedger.js'
+import type { LossReport } from './LossCounter.js'
 
 const WIDTH = 1_000
 const HEIGHT = 420
 const MARGIN = { left: 50, right: 230, top: 20, bottom: 40 }
 /** Causes that get a line of their own, largest first: more can't be told apart by colour. */
-const MOST_LINES = 8
+const MAX_CHART_LINES = 8
 const COLOURS = [
 	'#1f77b4',
 	'#d62728',
@@ -18,14 +18,14 @@
 	'#7f7f7f',
 	'#17becf',
 ]
-const TICKS = 8
+const AXIS_TICK_COUNT = 8
 
 /** An SVG page with one line in time for each of the largest causes. */
 export function renderLossChart(report: LossReport): string {
 	const causes = report.causes
 		.map(([cause]) => cause)
 		.filter((cause) => cause !== 'in-time')
-		.slice(0, MOST_LINES)
+		.slice(0, MAX_CHART_LINES)
 	const highest = Math.max(
 		1,
 		...report.seconds.flatMap((counts) => causes.map((cause) => counts.get(cause) ?? 0)),
@@ -45,9 +45,11 @@
 		return `<path d="${path(cause)}" fill="none" stroke="${colour}" stroke-width="1.5"/>${label}`
 	})
 	const xTicks = x
-		.ticks(TICKS)
-		.map((second) => tick(x(second), HEIGHT - MARGIN.bottom + 18, `${second} s`))
-	const yTicks = y.ticks(TICKS).map((count) => tick(MARGIN.left - 22, y(count) + 4, `${count}`))
+		.ticks(AXIS_TICK_COUNT)
+		.map((second) => tickLabel(x(second), HEIGHT - MARGIN.bottom + 18, `${second} s`))
+	const yTicks = y
+		.ticks(AXIS_TICK_COUNT)
+		.map((count) => tickLabel(MARGIN.left - 22, y(count) + 4, `${count}`))
 	return [
 		`<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDTH} ${HEIGHT}" font-family="sans-serif" font-size="12">`,
 		`<rect width="${WIDTH}" height="${HEIGHT}" fill="#ffffff"/>`,
@@ -60,6 +62,6 @@
 	].join('\n')
 }
 
-function tick(x: number, y: number, text: string): string {
+function tickLabel(x: number, y: number, text: string): string {
 	return `<text x="${x.toFixed(1)}" y="${y.toFixed(1)}" text-anchor="middle" fill="#555555">${text}</text>`
 }
--- a/apps/stallwing/src/lib/routerStatus.ts
+++ b/apps/stallwing/src/lib/routerStatus.ts
@@ -1,4 +1,4 @@
-import { CommandError, EXIT } from './CommandError.js'
+import { CommandError, EXIT_CODES } from './CommandError.js'
 
 /** A quarantined request, as a gateway tells it. */
 export interface QuarantinedRequest {
@@ -49,17 +49,17 @@
 	}[]
 }
 
-const TIMEOUT_MS = 1_000
+const REQUEST_TIMEOUT_MS = 1_000
 
 /** Asks every router; one that does not answer is undefined. */
-export function askRouters(urls: readonly string[]): Promise<(RouterStatus | undefined)[]> {
-	return Promise.all(urls.map((url) => askRouter<RouterStatus>(`${url}/status`)))
+export function fetchStatuses(urls: readonly string[]): Promise<(RouterStatus | undefined)[]> {
+	return Promise.all(urls.map((url) => fetchFromRouter<RouterStatus>(`${url}/status`)))
 }
 
 /** Asks one router for a JSON document; undefined where it does not answer. */
-export async function askRouter<T>(url: string): Promise<T | undefined> {
+export async function fetchFromRouter<T>(url: string): Promise<T | undefined> {
 	try {
-		const reply = await fetch(url, { signal: AbortSignal.timeout(TIMEOUT_MS) })
+		const reply = await fetch(url, { signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) })
 		return (await reply.json()) as T
 	} catch {
 		return undefined
@@ -69,5 +69,5 @@
 /** @throws CommandError where the settings name no router. */
 export function requireRouters(urls: readonly string[]): readonly string[] {
 	if (urls.length > 0) return urls
-	throw new CommandError(EXIT.invalid, 'the operator settings list no "routers" to ask')
+	throw new CommandError(EXIT_CODES.invalid, 'the operator settings list no "routers" to ask')
 }
--- a/apps/stallwing/src/main.ts
+++ b/apps/stallwing/src/main.ts
@@ -1,7 +1,7 @@
 /** The `stallwing` command. */
 import { PlatformUnavailableError } from '@stallwing/store'
 import { Command, CommanderError } from 'commander'
-import { CommandError, EXIT } from './lib/CommandError.js'
+import { CommandError, EXIT_CODES } from './lib/CommandError.js'
 import { addBudgetCommands } from './lib/commands/budgetCommands.js'
 import { addBundleCommands } from './lib/commands/bundleCommands.js'
 import { addLossesCommand } from './lib/commands/lossesCommand.js'
@@ -9,7 +9,7 @@
 import { addQuarantineCommands } from './lib/commands/quarantineCommands.js'
 import { addRouterCommand } from './lib/commands/routerCommand.js'
 import { addStatusCommands } from './lib/commands/statusCommands.js'
-import { DEFAULT_OPERATOR_FILE } from './lib/OperatorConfig.js'
+import { DEFAULT_OPERATOR_CONFIG_FILE } from './lib/OperatorConfig.js'
 
 const program = new Command('stallwing')
 	.description('Router fleet for prepaid token budgets')
@@ -26,34 +26,35 @@
 	)
 	.exitOverride()
 
-function operatorFile(): string {
-	return program.opts<{ operatorConfig?: string }>().operatorConfig ?? DEFAULT_OPERATOR_FILE
+function operatorConfigFile(): string {
+	return program.opts<{ operatorConfig?: string }>().operatorConfig ?? DEFAULT_OPERATOR_CONFIG_FILE
 }
 
 addRouterCommand(program)
-addBundleCommands(program, operatorFile)
-addBudgetCommands(program, operatorFile)
-addStatusCommands(program, operatorFile)
-addQuarantineCommands(program, operatorFile)
+addBundleCommands(program, operatorConfigFile)
+addBudgetCommands(program, operatorConfigFile)
+addStatusCommands(program, operatorConfigFile)
+addQuarantineCommands(program, operatorConfigFile)
 addOperatorCommands(program)
 addLossesCommand(program)
 
 try {
 	await program.parseAsync()
 } catch (error) {
-	process.exitCode = report(error)
+	process.exitCode = reportError(error)
 }
 
-function report(error: unknown): number {
-	if (error instanceof CommanderError) return error.exitCode === 0 ? EXIT.ok : EXIT.usage
+function reportError(error: unknown): number {
+	if (error instanceof CommanderError)
+		return error.exitCode === 0 ? EXIT_CODES.ok : EXIT_CODES.usage
 	if (error instanceof CommandError) {
 		process.stderr.write(`stallwing: ${error.message}\n`)
 		return error.exitCode
 	}
 	if (error instanceof PlatformUnavailableError) {
 		process.stderr.write(`stallwing: ${error.message}\n`)
-		return EXIT.unavailable
+		return EXIT_CODES.unavailable
 	}
 	process.stderr.write(`stallwing: ${String(error)}\n`)
-	return EXIT.failure
+	return EXIT_CODES.failure
 }
--- a/internal/bench/src/capacity.ts
+++ b/internal/bench/src/capacity.ts
@@ -15,7 +15,7 @@
 	type ZoneLedgerValue,
 } from '@stallwing/core'
 import { describeFit, fitLine } from './lib/fitLine.js'
-import { measureWorld, type WorldFigures } from './lib/measureWorld.js'
+import { measureControlCost, type ControlCost } from './lib/measureControlCost.js'
 
 type Point = readonly [number, number]
 const PERCENT = 100
@@ -24,112 +24,112 @@
 	process.stdout.write(`${text}\n`)
 }
 
-function line(name: string, points: readonly Point[]): void {
+function printFit(name: string, points: readonly Point[]): void {
 	print(`${name}: ${describeFit(points)}`)
 }
 
-function section(title: string): void {
+function printSection(title: string): void {
 	print(`\n${title}`)
 }
 
-boxesPerZone()
-requestRate()
-budgetCount()
-zoneCount()
-ledgerState()
-boxState()
+measureByBoxesPerZone()
+measureByRequestRate()
+measureByBudgetCount()
+measureByZoneCount()
+measureLedgerSize()
+measureBoxHeap()
 
 /** Idle control by boxes in a zone. */
-function boxesPerZone(): void {
-	section('idle, by boxes in a zone (1 zone)')
-	const rows = [2, 4, 8, 16].map((n): [number, WorldFigures] => {
-		return [n, measureWorld({ zones: 1, boxesPerZone: n, requests: 0 }, 0)]
+function measureByBoxesPerZone(): void {
+	printSection('idle, by boxes in a zone (1 zone)')
+	const rows = [2, 4, 8, 16].map((n): [number, ControlCost] => {
+		return [n, measureControlCost({ zones: 1, boxesPerZone: n, requests: 0 }, 0)]
 	})
-	report(rows)
+	printControlCost(rows)
 }
 
 /** Control by requests a second and box. */
-function requestRate(): void {
-	section('by requests a second and box (1 zone of 8 boxes, 40 accounts)')
-	const rows = [2, 5, 10, 15].map((rate): [number, WorldFigures] => {
+function measureByRequestRate(): void {
+	printSection('by requests a second and box (1 zone of 8 boxes, 40 accounts)')
+	const rows = [2, 5, 10, 15].map((rate): [number, ControlCost] => {
 		const options = { zones: 1, boxesPerZone: 8, accounts: 40 }
-		return [rate, measureWorld(options, rate * 8)]
+		return [rate, measureControlCost(options, rate * 8)]
 	})
-	report(rows)
+	printControlCost(rows)
 	for (const [rate, figures] of rows)
 		print(
-			`  at ${rate}: answered ${(figures.answered * PERCENT).toFixed(2)} %, bytes/s by kind ${JSON.stringify(figures.bytesByKind)}`,
+			`  at ${rate}: answered ${(figures.answeredShare * PERCENT).toFixed(2)} %, bytes/s by kind ${JSON.stringify(figures.bytesByKind)}`,
 		)
 }
 
 /** Control by budgets in use. */
-function budgetCount(): void {
-	section('by budgets in use (1 zone of 4 boxes, 20 requests a second)')
-	const rows = [10, 40, 160, 640].map((accounts): [number, WorldFigures] => {
-		return [accounts, measureWorld({ zones: 1, boxesPerZone: 4, accounts }, 20)]
+function measureByBudgetCount(): void {
+	printSection('by budgets in use (1 zone of 4 boxes, 20 requests a second)')
+	const rows = [10, 40, 160, 640].map((accounts): [number, ControlCost] => {
+		return [accounts, measureControlCost({ zones: 1, boxesPerZone: 4, accounts }, 20)]
 	})
-	report(rows)
+	printControlCost(rows)
 }
 
 /** Platform calls by zones. */
-function zoneCount(): void {
-	section('by zones (2 boxes each, 40 accounts, 4 requests a second and zone)')
-	const rows = [1, 2, 4, 8].map((zones): [number, WorldFigures] => {
-		return [zones, measureWorld({ zones, boxesPerZone: 2, accounts: 40 }, 4 * zones)]
+function measureByZoneCount(): void {
+	printSection('by zones (2 boxes each, 40 accounts, 4 requests a second and zone)')
+	const rows = [1, 2, 4, 8].map((zones): [number, ControlCost] => {
+		return [zones, measureControlCost({ zones, boxesPerZone: 2, accounts: 40 }, 4 * zones)]
 	})
-	report(rows)
+	printControlCost(rows)
 }
 
-function report(rows: readonly (readonly [number, WorldFigures])[]): void {
-	const pick = (read: (figures: WorldFigures) => number): Point[] => {
+function printControlCost(rows: readonly (readonly [number, ControlCost])[]): void {
+	const pick = (read: (figures: ControlCost) => number): Point[] => {
 		return rows.map(([x, figures]) => [x, read(figures)])
 	}
-	line(
+	printFit(
 		'  messages sent a second and box',
-		pick((f) => f.messages),
+		pick((f) => f.messagesPerSecond),
 	)
-	line(
+	printFit(
 		'  bytes sent a second and box',
-		pick((f) => f.bytes),
+		pick((f) => f.bytesPerSecond),
 	)
-	line(
+	printFit(
 		'  bytes sent a second, keeper',
-		pick((f) => f.keeperBytes),
+		pick((f) => f.leaderBytesPerSecond),
 	)
-	line(
+	printFit(
 		'  decisions, % of a core and box',
-		pick((f) => f.core * PERCENT),
+		pick((f) => f.cpuShare * PERCENT),
 	)
-	line(
+	printFit(
 		'  decisions, % of a core, keeper',
-		pick((f) => f.keeperCore * PERCENT),
+		pick((f) => f.leaderCpuShare * PERCENT),
 	)
-	line(
+	printFit(
 		'  platform reads a second',
-		pick((f) => f.reads),
+		pick((f) => f.readsPerSecond),
 	)
-	line(
+	printFit(
 		'  platform writes a second',
-		pick((f) => f.writes),
+		pick((f) => f.writesPerSecond),
 	)
-	line(
+	printFit(
 		'  platform watches a second',
-		pick((f) => f.watches),
+		pick((f) => f.watchesPerSecond),
 	)
 }
 
 /** Size of a ledger value and time to copy and encode it, by budgets. */
-function ledgerState(): void {
-	section('zone ledger value by budgets (16 boxes hold money of each)')
+function measureLedgerSize(): void {
+	printSection('zone ledger value by budgets (16 boxes hold money of each)')
 	const sizes: Point[] = []
 	const times: Point[] = []
 	for (const budgets of [50, 100, 200, 400]) {
 		const value = makeLedger(budgets, 16)
 		sizes.push([budgets, JSON.stringify(value).length])
-		times.push([budgets, timeOf(() => JSON.stringify(structuredClone(value)))])
+		times.push([budgets, averageMs(() => JSON.stringify(structuredClone(value)))])
 	}
-	line('  bytes', sizes)
-	line('  ms to copy and encode', times)
+	printFit('  bytes', sizes)
+	printFit('  ms to copy and encode', times)
 	print(`  budgets that fit a megabyte: ${Math.floor(1_048_576 / fitLine(sizes).slope)}`)
 }
 
@@ -148,7 +148,7 @@
 	return value
 }
 
-function timeOf(work: () => unknown): number {
+function averageMs(work: () => unknown): number {
 	const rounds = 20
 	work()
 	const begun = performance.now()
@@ -157,13 +157,13 @@
 }
 
 /** Heap of identity records and slices. */
-function boxState(): void {
-	section('heap of a box')
-	line('  bytes by identity records', heapOf([5_000, 20_000, 80_000], makeRecords))
-	line('  bytes by slices', heapOf([1_000, 4_000, 16_000], makeSlices))
+function measureBoxHeap(): void {
+	printSection('heap of a box')
+	printFit('  bytes by identity records', measureHeapBytes([5_000, 20_000, 80_000], makeRecords))
+	printFit('  bytes by slices', measureHeapBytes([1_000, 4_000, 16_000], makeSlices))
 }
 
-function heapOf(counts: readonly number[], make: (count: number) => unknown): Point[] {
+function measureHeapBytes(counts: readonly number[], make: (count: number) => unknown): Point[] {
 	return counts.map((count) => {
 		globalThis.gc?.()
 		const before = process.memoryUsage().heapUsed
--- a/internal/bench/src/gateway.ts
+++ b/internal/bench/src/gateway.ts
@@ -13,21 +13,21 @@
 import {
 	BENCH_CONFIG,
 	BENCH_DIALECT,
-	BENCH_DOCUMENTS,
+	BENCH_STORE_LAYOUT,
 	targetDocuments,
-} from './lib/gatewayWorld.js'
-import type { LoadOrder, LoadReport } from './gatewayLoad.js'
+} from './lib/gatewayBenchConfig.js'
+import type { LoadOptions, LoadReport } from './gatewayLoad.js'
 
 /** Targets of the larger service, as many as a large deployment has; they share a few listening ports. */
 const ENGINES = 98
-const IDLE_MS = 2_000
-const WARM_UP: LoadOrder = { perSecond: 150, ms: 3_000 }
-const LOADS: readonly LoadOrder[] = [
-	{ perSecond: 65, ms: 6_000 },
-	{ perSecond: 260, ms: 6_000 },
+const IDLE_DURATION_MS = 2_000
+const WARM_UP: LoadOptions = { requestsPerSecond: 150, durationMs: 3_000 }
+const LOADS: readonly LoadOptions[] = [
+	{ requestsPerSecond: 65, durationMs: 6_000 },
+	{ requestsPerSecond: 260, durationMs: 6_000 },
 ]
 /** Nanoseconds in a ms. */
-const NANOSECONDS = 1_000_000
+const NANOSECONDS_PER_MS = 1_000_000
 const LOG_LINES_PER_SECOND = 400
 const LOOPBACK = { host: '127.0.0.1', port: 0 }
 
@@ -52,7 +52,7 @@
 	store: store.connection('box-1'),
 	isFirstStart: true,
 	storeReadsPerSecond: 6_000,
-	storeLayout: BENCH_DOCUMENTS,
+	storeLayout: BENCH_STORE_LAYOUT,
 	dialect: BENCH_DIALECT,
 	retryLimits: { ratio: 0.2, slack: 1_000, windowMs: 10_000 },
 	coldLimits: { overrun: 1.5, tolerance: 5 },
@@ -67,49 +67,49 @@
 	suspendAwareNow: () => performance.now(),
 	random: Math.random,
 })
-store.put(BENCH_DOCUMENTS.configKey, JSON.stringify(BENCH_CONFIG))
+store.put(BENCH_STORE_LAYOUT.configKey, JSON.stringify(BENCH_CONFIG))
 for (const [key, document] of targetDocuments(ENGINES, ports)) store.put(key, document)
 const { callers } = await gateway.start()
 while (!gateway.isReady) await sleep(50)
 
-await load(WARM_UP)
-const idle = await processorMs(() => sleep(IDLE_MS))
-const idlePart = idle.ms / IDLE_MS
+await runLoad(WARM_UP)
+const idle = await measureCpuMs(() => sleep(IDLE_DURATION_MS))
+const idlePart = idle.ms / IDLE_DURATION_MS
 print(`idle: ${(1_000 * idlePart).toFixed(1)} ms of each second`)
 print('requests/s  answered  failed  processor ms a request  p50 ms  p90 ms')
 for (const order of LOADS) {
-	const { ms, result } = await processorMs(() => load(order))
-	const each = (ms - idlePart * order.ms) / Math.max(1, result.answered)
+	const { ms, result } = await measureCpuMs(() => runLoad(order))
+	const each = (ms - idlePart * order.durationMs) / Math.max(1, result.answered)
 	print(
 		[
-			String(order.perSecond).padStart(10),
+			String(order.requestsPerSecond).padStart(10),
 			String(result.answered).padStart(8),
 			String(result.failed).padStart(6),
 			each.toFixed(3).padStart(22),
-			result.p50Ms.toFixed(1).padStart(6),
-			result.p90Ms.toFixed(1).padStart(6),
+			result.firstByteP50Ms.toFixed(1).padStart(6),
+			result.firstByteP90Ms.toFixed(1).padStart(6),
 		].join('  '),
 	)
 }
 await worker.terminate()
 process.exit(0)
 
-function load(order: LoadOrder): Promise<LoadReport> {
+function runLoad(order: LoadOptions): Promise<LoadReport> {
 	worker.postMessage({ ...order, port: callers })
 	return nextMessage<LoadReport>()
 }
 
 /** Processor time of this thread while something ran, in ms. */
-async function processorMs<T>(run: () => Promise<T>): Promise<{ ms: number; result: T }> {
-	const before = threadMs()
+async function measureCpuMs<T>(run: () => Promise<T>): Promise<{ ms: number; result: T }> {
+	const before = threadCpuMs()
 	const result = await run()
-	return { ms: threadMs() - before, result }
+	return { ms: threadCpuMs() - before, result }
 }
 
 /** Processor time of this thread so far, in ms: the first figure of the scheduler's statistics, in ns. */
-function threadMs(): number {
+function threadCpuMs(): number {
 	const text = readFileSync(`/proc/self/task/${process.pid}/schedstat`, 'utf8')
-	return Number(text.split(' ')[0]) / NANOSECONDS
+	return Number(text.split(' ')[0]) / NANOSECONDS_PER_MS
 }
 
 function nextMessage<T>(): Promise<T> {
--- a/internal/bench/src/gatewayLoad.ts
+++ b/internal/bench/src/gatewayLoad.ts
@@ -4,12 +4,12 @@
 import { performance } from 'node:perf_hooks'
 import { parentPort } from 'node:worker_threads'
 import { build } from 'hdr-histogram-js'
-import { BENCH_KEY, PLAIN_PATH, STREAM_PATH } from './lib/gatewayWorld.js'
+import { BENCH_API_KEY, PLAIN_PATH, STREAM_PATH } from './lib/gatewayBenchConfig.js'
 
 /** Requests to be sent. */
-export interface LoadOrder {
-	readonly perSecond: number
-	readonly ms: number
+export interface LoadOptions {
+	readonly requestsPerSecond: number
+	readonly durationMs: number
 }
 
 /** What became of the requests of an order. */
@@ -17,27 +17,27 @@
 	readonly answered: number
 	readonly failed: number
 	/** Time to the first byte of an answer. */
-	readonly p50Ms: number
-	readonly p90Ms: number
+	readonly firstByteP50Ms: number
+	readonly firstByteP90Ms: number
 }
 
-const PORTS = 8
-const EVENTS = 10
+const TARGET_PORTS = 8
+const EVENTS_PER_STREAM = 10
 const EVENT_GAP_MS = 20
-const PLAIN_WORK_MS = 20
+const PLAIN_RESPONSE_MS = 20
 /** Part of the requests that are for the plain service. */
-const PLAIN_PART = 0.3
+const PLAIN_SHARE = 0.3
 const SESSIONS = 200
 const CALLERS = 60
 const STREAM_BODY = Buffer.alloc(4_000, 'x')
 const PLAIN_BODY = Buffer.alloc(600, 'x')
-const MICROSECONDS = 1_000
+const MICROSECONDS_PER_MS = 1_000
 
-const servers = await Promise.all(Array.from({ length: PORTS }, listen))
+const servers = await Promise.all(Array.from({ length: TARGET_PORTS }, listen))
 const agents = Array.from({ length: CALLERS }, () => new Agent({ keepAlive: true }))
 parentPort?.postMessage(servers)
-parentPort?.on('message', (order: LoadOrder & { readonly port: number }) => {
-	void play(order).then((report) => parentPort?.postMessage(report))
+parentPort?.on('message', (order: LoadOptions & { readonly port: number }) => {
+	void runLoad(order).then((report) => parentPort?.postMessage(report))
 })
 
 function listen(): Promise<number> {
@@ -55,7 +55,7 @@
 	response.setHeader('target-mark', 'mark')
 	response.setHeader('load', '3,0,24')
 	if (message.url?.startsWith(PLAIN_PATH)) {
-		setTimeout(() => response.end('x'.repeat(800)), PLAIN_WORK_MS)
+		setTimeout(() => response.end('x'.repeat(800)), PLAIN_RESPONSE_MS)
 		return
 	}
 	response.writeHead(200, { 'Content-Type': 'text/event-stream' })
@@ -63,37 +63,37 @@
 	const timer = setInterval(() => {
 		event++
 		response.write(`id: ${event}\ndata: ${'x'.repeat(55)}\n\n`)
-		if (event < EVENTS) return
+		if (event < EVENTS_PER_STREAM) return
 		clearInterval(timer)
 		response.end()
 	}, EVENT_GAP_MS)
 }
 
-async function play(order: LoadOrder & { readonly port: number }): Promise<LoadReport> {
+async function runLoad(order: LoadOptions & { readonly port: number }): Promise<LoadReport> {
 	const histogram = build({ numberOfSignificantValueDigits: 3 })
 	const begun = performance.now()
-	const count = Math.round((order.perSecond * order.ms) / 1_000)
+	const count = Math.round((order.requestsPerSecond * order.durationMs) / 1_000)
 	const ends: Promise<number | undefined>[] = []
 	for (let i = 0; i < count; i++) {
-		const due = begun + (i * 1_000) / order.perSecond
+		const due = begun + (i * 1_000) / order.requestsPerSecond
 		const wait = due - performance.now()
 		if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-		ends.push(ask(order.port, `${begun}-${i}`, i))
+		ends.push(sendRequest(order.port, `${begun}-${i}`, i))
 	}
 	const firstMs = await Promise.all(ends)
 	const answered = firstMs.filter((ms) => ms !== undefined)
-	for (const ms of answered) histogram.recordValue(Math.round(ms * MICROSECONDS))
+	for (const ms of answered) histogram.recordValue(Math.round(ms * MICROSECONDS_PER_MS))
 	return {
 		answered: answered.length,
 		failed: firstMs.length - answered.length,
-		p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS,
-		p90Ms: histogram.getValueAtPercentile(90) / MICROSECONDS,
+		firstByteP50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+		firstByteP90Ms: histogram.getValueAtPercentile(90) / MICROSECONDS_PER_MS,
 	}
 }
 
 /** Time to the first byte, in ms; undefined without a whole answer. */
-function ask(port: number, id: string, index: number): Promise<number | undefined> {
-	const isPlain = index % 10 < PLAIN_PART * 10
+function sendRequest(port: number, id: string, index: number): Promise<number | undefined> {
+	const isPlain = index % 10 < PLAIN_SHARE * 10
 	const begun = performance.now()
 	return new Promise((resolve) => {
 		const outgoing = request(
@@ -104,7 +104,7 @@
 				path: `${isPlain ? PLAIN_PATH : STREAM_PATH}x`,
 				headers: {
 					host: 'a.example',
-					authorization: BENCH_KEY,
+					authorization: BENCH_API_KEY,
 					'request-id': id,
 					'deadline-ms': '6000',
 					work: `${index % 4},${index % SESSIONS},${id}`,
--- a/internal/bench/src/lib/accountsOf.ts
+++ b/internal/bench/src/lib/collectMoneyTotals.ts
@@ -1,7 +1,7 @@
-import { collectSums, type World } from '@stallwing/soak'
+import { collectBudgetTotals, type Simulation } from '@stallwing/soak'
 
 /** Money of a world, over all budgets. */
-export interface Accounts {
+export interface MoneyTotals {
 	readonly billed: number
 	readonly inDoubt: number
 	readonly prepaid: number
@@ -10,8 +10,8 @@
 }
 
 /** Adds up the budgets of a world. */
-export function accountsOf(world: World): Accounts {
-	const sums = [...collectSums(world).values()]
+export function collectMoneyTotals(world: Simulation): MoneyTotals {
+	const sums = [...collectBudgetTotals(world).values()]
 	const add = (read: (row: (typeof sums)[number]) => number): number => {
 		return sums.reduce((total, row) => total + read(row), 0)
 	}
--- a/internal/bench/src/lib/fitLine.ts
+++ b/internal/bench/src/lib/fitLine.ts
@@ -1,13 +1,13 @@
 /** A straight line through measured points. */
-export interface Line {
+export interface LineFit {
 	readonly slope: number
 	readonly intercept: number
 	/** Largest distance of a point from the line, as a share of the largest value. */
-	readonly residual: number
+	readonly relativeResidual: number
 }
 
 /** Fits a line by least squares. */
-export function fitLine(points: readonly (readonly [number, number])[]): Line {
+export function fitLine(points: readonly (readonly [number, number])[]): LineFit {
 	const n = points.length
 	const meanX = points.reduce((sum, [x]) => sum + x, 0) / n
 	const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n
@@ -21,12 +21,12 @@
 	const intercept = meanY - slope * meanX
 	const largest = Math.max(...points.map(([, y]) => Math.abs(y)), Number.MIN_VALUE)
 	const worst = Math.max(...points.map(([x, y]) => Math.abs(y - intercept - slope * x)))
-	return { slope, intercept, residual: worst / largest }
+	return { slope, intercept, relativeResidual: worst / largest }
 }
 
 /** A fit as text: slope, intercept, residual, with the measured range. */
 export function describeFit(points: readonly (readonly [number, number])[]): string {
-	const { slope, intercept, residual } = fitLine(points)
+	const { slope, intercept, relativeResidual: residual } = fitLine(points)
 	const xs = points.map(([x]) => x)
 	const range = `${Math.min(...xs)} to ${Math.max(...xs)}`
 	const values = points.map(([x, y]) => `${x}: ${y.toPrecision(4)}`).join(', ')
--- a/internal/bench/src/lib/gatewayWorld.ts
+++ b/internal/bench/src/lib/gatewayBenchConfig.ts
@@ -21,13 +21,13 @@
 	headerTimeoutMs: 3_000,
 	idleTimeoutMs: 15_000,
 }
-const REFUSED_STATUS = 503
+const REFUSAL_STATUS = 503
 
 /** Path prefixes of the two routes of the bench. */
 export const STREAM_PATH = '/stream/'
 export const PLAIN_PATH = '/plain/'
 /** The only key that callers of the bench have. */
-export const BENCH_KEY = 'key'
+export const BENCH_API_KEY = 'key'
 
 /** Two routes: streams of engines, and a plain service. */
 export const BENCH_CONFIG: TrafficConfig = {
@@ -73,7 +73,7 @@
 	accounts: [
 		{
 			name: brandId<AccountName>('acme'),
-			keys: [BENCH_KEY],
+			keys: [BENCH_API_KEY],
 			rank: 0,
 			tokenBudget: 1_000_000_000,
 			regions: undefined,
@@ -82,7 +82,7 @@
 	limits: LIMITS,
 }
 
-export const BENCH_DOCUMENTS: StoreLayout = {
+export const BENCH_STORE_LAYOUT: StoreLayout = {
 	configPrefix: 'config/',
 	configKey: 'config/now',
 	cordonPrefix: 'config/cordon/',
@@ -144,5 +144,5 @@
 		const [running = 0, waiting = 0, slots = 1] = text.split(',').map(Number)
 		return { running, waiting, slots }
 	},
-	statusFor: () => REFUSED_STATUS,
+	statusFor: () => REFUSAL_STATUS,
 }
--- a/internal/bench/src/lib/scrape.ts
+++ b/internal/bench/src/lib/scrapeMetrics.ts
@@ -1,10 +1,10 @@
 import type { FleetRouter } from '@stallwing/demo'
 
 /** Metrics of one router at one moment, by name with labels. */
-export type Scrape = ReadonlyMap<string, number>
+export type MetricValues = ReadonlyMap<string, number>
 
 /** Reads a router's metrics. */
-export async function scrape(router: FleetRouter): Promise<Scrape> {
+export async function scrapeMetrics(router: FleetRouter): Promise<MetricValues> {
 	const text = await (await fetch(`${router.url}/metrics`)).text()
 	const values = new Map<string, number>()
 	for (const line of text.split('\n')) {
@@ -15,13 +15,17 @@
 }
 
 /** Sum of all metrics whose name starts with a prefix. */
-export function sumOf(values: Scrape, prefix: string): number {
+export function sumByPrefix(values: MetricValues, prefix: string): number {
 	let sum = 0
 	for (const [name, value] of values) if (name.startsWith(prefix)) sum += value
 	return sum
 }
 
 /** Growth of a sum between two scrapes. */
-export function growth(before: Scrape, after: Scrape, prefix: string): number {
-	return sumOf(after, prefix) - sumOf(before, prefix)
+export function increaseByPrefix(
+	before: MetricValues,
+	after: MetricValues,
+	prefix: string,
+): number {
+	return sumByPrefix(after, prefix) - sumByPrefix(before, prefix)
 }
--- a/internal/bench/src/link.ts
+++ b/internal/bench/src/link.ts
@@ -7,21 +7,21 @@
 import { Metrics, PeerLinks, PeerServer } from '@stallwing/router'
 import { describeFit } from './lib/fitLine.js'
 
-const RATES = [0, 25, 100, 400]
-const RATIONS = [10, 25, 50, 1_000]
+const MESSAGE_RATES = [0, 25, 100, 400]
+const FRAME_LIMITS = [10, 25, 50, 1_000]
 const MESSAGES_PER_SECOND = 100
-const ROUND_MS = 4_000
-const TICK_MS = 2
+const ROUND_DURATION_MS = 4_000
+const SEND_PERIOD_MS = 2
 const PERCENT = 100
 
-const message = logMessage()
+const message = makeLogMessage()
 
 // The compiler optimises what runs often: without this the first rounds cost several times more.
 await measure(3_000, 1_000)
 const points: [number, number][] = []
-for (const rate of RATES) points.push([rate, await measure(rate, 1_000)])
+for (const rate of MESSAGE_RATES) points.push([rate, await measure(rate, 1_000)])
 print(`% of a core by frames a second, both sides: ${describeFit(points)}`)
-for (const ration of RATIONS) {
+for (const ration of FRAME_LIMITS) {
 	const used = await measure(MESSAGES_PER_SECOND, ration)
 	print(
 		`  ${MESSAGES_PER_SECOND} messages a second in at most ${ration} frames: ${used.toFixed(2)} %`,
@@ -49,10 +49,10 @@
 	const before = process.cpuUsage()
 	const startedAt = performance.now()
 	let sent = 0
-	while (performance.now() - startedAt < ROUND_MS) {
+	while (performance.now() - startedAt < ROUND_DURATION_MS) {
 		const due = Math.floor(((performance.now() - startedAt) * rate) / 1_000)
 		for (; sent < due; sent++) links.send(address, message)
-		await new Promise((resolve) => setTimeout(resolve, TICK_MS))
+		await new Promise((resolve) => setTimeout(resolve, SEND_PERIOD_MS))
 	}
 	const used = process.cpuUsage(before)
 	return ((used.user + used.system) / 1_000 / (performance.now() - startedAt)) * PERCENT
@@ -62,7 +62,7 @@
 	process.stdout.write(`${text}\n`)
 }
 
-function logMessage(): PeerMessage {
+function makeLogMessage(): PeerMessage {
 	const box = brandId<BoxName>('zone-a-box-1')
 	const incarnation = brandId<Incarnation>('0mx5ycai9x-5609e5')
 	const id = brandId<Extract<PeerMessage, { kind: 'log' }>['batch']['bills'][number]['id']>(
--- a/internal/bench/src/money.ts
+++ b/internal/bench/src/money.ts
@@ -5,85 +5,102 @@
  */
 import { parseArgs } from 'node:util'
 import { ALL_PROTECTIONS, type Protections } from '@stallwing/core'
-import { World, type WorldOptions } from '@stallwing/soak'
+import { Simulation, type SimulationOptions } from '@stallwing/soak'
 import { encodeMessage } from '@stallwing/wire'
-import { accountsOf, type Accounts } from './lib/accountsOf.js'
+import { collectMoneyTotals, type MoneyTotals } from './lib/collectMoneyTotals.js'
 
 const { values } = parseArgs({ options: { seeds: { type: 'string', default: '3' } } })
 
-const SPAN_MS = 240_000
+const DURATION_MS = 240_000
 const REQUESTS = 1_200
 /** Mean charge of a request of a run, to size the budgets. */
 const MEAN_CHARGE = 38
-const FOREVER_MS = 1_000_000_000
+const UNLIMITED_MS = 1_000_000_000
 const PERCENT = 100
 
-interface Way {
+interface Strategy {
 	readonly name: string
-	readonly policy: WorldOptions['policy']
+	readonly policy: SimulationOptions['policy']
 	readonly protections?: Partial<Protections>
 }
 
-interface Load {
+interface LoadShape {
 	readonly name: string
 	readonly zones: number
 	/** Time of an arrival, 0 to 1, from a random number. */
-	readonly arrival: (random: number) => number
+	readonly arrivalTime: (random: number) => number
 }
 
 interface Scenario {
 	readonly name: string
 	/** Prepaid money as a share of the whole demand. */
-	readonly money: number
-	readonly act: (world: World) => void
+	readonly prepaidShare: number
+	readonly injectFault: (world: Simulation) => void
 }
 
-const STUCK: Partial<Protections> = { recall: false, transfers: false }
-const WAYS: readonly Way[] = [
+const NO_REBALANCING: Partial<Protections> = { recall: false, transfers: false }
+const STRATEGIES: readonly Strategy[] = [
 	{
 		name: 'even shares, nothing moves',
-		policy: { sliceHorizonMs: FOREVER_MS },
-		protections: STUCK,
+		policy: { sliceHorizonMs: UNLIMITED_MS },
+		protections: NO_REBALANCING,
+	},
+	{
+		name: 'horizon 60 s, nothing moves',
+		policy: { sliceHorizonMs: 60_000 },
+		protections: NO_REBALANCING,
+	},
+	{
+		name: 'horizon 600 s, nothing moves',
+		policy: { sliceHorizonMs: 600_000 },
+		protections: NO_REBALANCING,
 	},
-	{ name: 'horizon 60 s, nothing moves', policy: { sliceHorizonMs: 60_000 }, protections: STUCK },
-	{ name: 'horizon 600 s, nothing moves', policy: { sliceHorizonMs: 600_000 }, protections: STUCK },
 	{ name: 'horizon 600 s, recall', policy: {}, protections: { transfers: false } },
 	{ name: 'horizon 60 s, recall and transfers', policy: { sliceHorizonMs: 60_000 } },
 	{ name: 'horizon 600 s, recall and transfers', policy: {} },
-	{ name: 'the same, whole slice as watermark', policy: { trancheMs: FOREVER_MS } },
+	{ name: 'the same, whole slice as watermark', policy: { trancheMs: UNLIMITED_MS } },
 ]
 
-const LOADS: readonly Load[] = [
-	{ name: 'day shift, 4 zones', zones: 4, arrival: (random) => random },
-	{ name: 'evening peak, 3 zones', zones: 3, arrival: (random) => Math.sqrt(random) },
+const LOADS: readonly LoadShape[] = [
+	{ name: 'day shift, 4 zones', zones: 4, arrivalTime: (random) => random },
+	{ name: 'evening peak, 3 zones', zones: 3, arrivalTime: (random) => Math.sqrt(random) },
 ]
 
 const SCENARIOS: readonly Scenario[] = [
-	{ name: 'calm', money: 1.5, act: () => undefined },
-	{ name: 'crashes', money: 1.5, act: crashes },
-	{ name: 'zone cut off', money: 1.5, act: (world) => world.faults.cut(world.zones[0] as string) },
-	{ name: 'platform down', money: 1.5, act: (world) => world.faults.platformDown() },
-	{ name: 'runs dry', money: 0.6, act: () => undefined },
+	{ name: 'calm', prepaidShare: 1.5, injectFault: () => undefined },
+	{ name: 'crashes', prepaidShare: 1.5, injectFault: crashBoxes },
+	{
+		name: 'zone cut off',
+		prepaidShare: 1.5,
+		injectFault: (world) => world.faults.partition(world.zones[0] as string),
+	},
+	{
+		name: 'platform down',
+		prepaidShare: 1.5,
+		injectFault: (world) => world.faults.startPlatformOutage(),
+	},
+	{ name: 'runs dry', prepaidShare: 0.6, injectFault: () => undefined },
 ]
 
 for (const load of LOADS) {
-	print(`\n${load.name}: ${REQUESTS} requests in ${SPAN_MS / 1_000} s, ${values.seeds} seeds`)
+	print(`\n${load.name}: ${REQUESTS} requests in ${DURATION_MS / 1_000} s, ${values.seeds} seeds`)
 	print(
 		`${'way'.padEnd(38)} scenario        overspend  false refusals  in doubt  writes/s  reads/s  bytes/request`,
 	)
-	for (const way of WAYS)
-		for (const scenario of SCENARIOS) print(row(way, scenario, measureAll(load, way, scenario)))
+	for (const way of STRATEGIES)
+		for (const scenario of SCENARIOS)
+			print(formatRow(way, scenario, measureAll(load, way, scenario)))
 }
 
-interface Result extends Accounts {
-	readonly oracle: number
-	readonly ours: number
-	readonly writes: number
-	readonly reads: number
-	readonly bytes: number
+interface Result extends MoneyTotals {
+	readonly oracleValue: number
+	readonly answeredValue: number
+	readonly writesPerSecond: number
+	readonly readsPerSecond: number
+	readonly bytesPerRequest: number
 }
 
-function measureAll(load: Load, way: Way, scenario: Scenario): Result {
+function measureAll(load: LoadShape, way: Strategy, scenario: Scenario): Result {
 	const results = Array.from({ length: Number(values.seeds) }, (_, i) => {
 		return measure(load, way, scenario, i + 1)
 	})
@@ -91,11 +108,11 @@
 		return results.reduce((total, result) => total + read(result), 0) / results.length
 	}
 	return {
-		oracle: sum((r) => r.oracle),
-		ours: sum((r) => r.ours),
-		writes: sum((r) => r.writes),
-		reads: sum((r) => r.reads),
-		bytes: sum((r) => r.bytes),
+		oracleValue: sum((r) => r.oracleValue),
+		answeredValue: sum((r) => r.answeredValue),
+		writesPerSecond: sum((r) => r.writesPerSecond),
+		readsPerSecond: sum((r) => r.readsPerSecond),
+		bytesPerRequest: sum((r) => r.bytesPerRequest),
 		billed: sum((r) => r.billed),
 		inDoubt: sum((r) => r.inDoubt),
 		prepaid: sum((r) => r.prepaid),
@@ -103,16 +120,16 @@
 	}
 }
 
-function measure(load: Load, way: Way, scenario: Scenario, seed: number): Result {
+function measure(load: LoadShape, way: Strategy, scenario: Scenario, seed: number): Result {
 	const accounts = 10
-	const prepaid = Math.round((REQUESTS * MEAN_CHARGE * scenario.money) / accounts)
-	const world = new World({
+	const prepaid = Math.round((REQUESTS * MEAN_CHARGE * scenario.prepaidShare) / accounts)
+	const world = new Simulation({
 		seed,
 		zones: load.zones,
 		boxesPerZone: 2,
 		accounts,
 		prepaid,
-		faults: false,
+		injectFaults: false,
 		policy: way.policy,
 		protections: { ...ALL_PROTECTIONS, ...way.protections },
 	})
@@ -123,38 +140,40 @@
 	world.start()
 	const before = { ...world.store.counts }
 	for (let i = 0; i < REQUESTS; i++)
-		world.queue.after(load.arrival(world.random.next()) * SPAN_MS, () => world.callers.sendNew())
+		world.queue.schedule(load.arrivalTime(world.random.next()) * DURATION_MS, () =>
+			world.callers.sendNewRequest(),
+		)
 	// The fault covers the middle half of the time.
-	world.queue.after(SPAN_MS / 4, () => scenario.act(world))
-	world.queue.after((SPAN_MS * 3) / 4, () => world.faults.heal())
-	world.runFor(SPAN_MS)
-	const doubt = accountsOf(world).inDoubt
+	world.queue.schedule(DURATION_MS / 4, () => scenario.injectFault(world))
+	world.queue.schedule((DURATION_MS * 3) / 4, () => world.faults.clearFaults())
+	world.runFor(DURATION_MS)
+	const doubt = collectMoneyTotals(world).inDoubt
 	world.runFor(30_000)
 	const after = world.store.counts
-	const seconds = SPAN_MS / 1_000
+	const seconds = DURATION_MS / 1_000
 	return {
-		...accountsOf(world),
+		...collectMoneyTotals(world),
 		inDoubt: doubt,
-		...world.callers.value(prepaid),
-		writes: (after.writes - before.writes) / seconds,
-		reads: (after.reads - before.reads + after.watches - before.watches) / seconds,
-		bytes: bytes / REQUESTS,
+		...world.callers.compareWithOracle(prepaid),
+		writesPerSecond: (after.writes - before.writes) / seconds,
+		readsPerSecond: (after.reads - before.reads + after.watches - before.watches) / seconds,
+		bytesPerRequest: bytes / REQUESTS,
 	}
 }
 
 /** A box of each zone in turn is killed and replaced. */
-function crashes(world: World): void {
+function crashBoxes(world: Simulation): void {
 	for (let i = 0; i < 6; i++) {
-		world.queue.after(i * 18_000, () => {
+		world.queue.schedule(i * 18_000, () => {
 			const box = world.boxes[(i * 2) % world.boxes.length]
 			box?.kill()
-			world.queue.after(8_000, () => box?.core === undefined && box?.boot())
+			world.queue.schedule(8_000, () => box?.core === undefined && box?.boot())
 		})
 	}
 }
 
-function row(way: Way, scenario: Scenario, result: Result): string {
-	const lost = (result.oracle - result.ours) / result.oracle
+function formatRow(way: Strategy, scenario: Scenario, result: Result): string {
+	const lost = (result.oracleValue - result.answeredValue) / result.oracleValue
 	const doubt = result.inDoubt / result.prepaid
 	return [
 		way.name.padEnd(38),
@@ -162,9 +181,9 @@
 		String(result.overspend).padStart(10),
 		`${(lost * PERCENT).toFixed(2)} %`.padStart(14),
 		`${(doubt * PERCENT).toFixed(2)} %`.padStart(8),
-		result.writes.toFixed(1).padStart(8),
-		result.reads.toFixed(1).padStart(7),
-		result.bytes.toFixed(0).padStart(13),
+		result.writesPerSecond.toFixed(1).padStart(8),
+		result.readsPerSecond.toFixed(1).padStart(7),
+		result.bytesPerRequest.toFixed(0).padStart(13),
 	].join(' ')
 }
 
--- a/internal/bench/src/path.ts
+++ b/internal/bench/src/path.ts
@@ -5,17 +5,17 @@
 import { Agent, request as httpRequest } from 'node:http'
 import { DEMO_ACCOUNTS, DemoFleet, type FleetRouter } from '@stallwing/demo'
 import { build } from 'hdr-histogram-js'
-import { scrape } from './lib/scrape.js'
+import { scrapeMetrics } from './lib/scrapeMetrics.js'
 
-const CALLERS = [1, 16, 128]
-const ROUND_MS = 4_000
-const MICROSECONDS = 1_000
-const MEGABYTE = 1_048_576
+const CALLER_COUNTS = [1, 16, 128]
+const ROUND_DURATION_MS = 4_000
+const MICROSECONDS_PER_MS = 1_000
+const BYTES_PER_MEGABYTE = 1_048_576
 
-interface Round {
-	readonly perSecond: number
-	readonly p50: number
-	readonly p99: number
+interface RoundResult {
+	readonly requestsPerSecond: number
+	readonly p50Ms: number
+	readonly p99Ms: number
 	readonly failed: number
 }
 
@@ -26,40 +26,47 @@
 	const service = fleet.targets.find((target) => target.kind === 'service')?.url ?? ''
 	const account = DEMO_ACCOUNTS[0]
 	const headers = { authorization: `Bearer ${account?.key ?? ''}` }
-	const idle = await resident(router)
-	await round(`${router.url}/services/meters/x`, headers, 16, 1_500)
+	const idle = await residentMegabytes(router)
+	await runRound(`${router.url}/services/meters/x`, headers, 16, 1_500)
 	print(
 		'callers  straight/s  routed/s  ratio  straight p50/p99 ms  routed p50/p99 ms  added p50/p99 ms  failed',
 	)
-	for (const callers of CALLERS) {
-		const straight = await round(`${service}/x`, {}, callers, ROUND_MS)
-		const routed = await round(`${router.url}/services/meters/x`, headers, callers, ROUND_MS)
-		const ratio = routed.perSecond / straight.perSecond
+	for (const callers of CALLER_COUNTS) {
+		const straight = await runRound(`${service}/x`, {}, callers, ROUND_DURATION_MS)
+		const routed = await runRound(
+			`${router.url}/services/meters/x`,
+			headers,
+			callers,
+			ROUND_DURATION_MS,
+		)
+		const ratio = routed.requestsPerSecond / straight.requestsPerSecond
 		print(
 			[
 				String(callers).padEnd(7),
-				straight.perSecond.toFixed(0).padStart(10),
-				routed.perSecond.toFixed(0).padStart(9),
+				straight.requestsPerSecond.toFixed(0).padStart(10),
+				routed.requestsPerSecond.toFixed(0).padStart(9),
 				ratio.toFixed(3).padStart(6),
-				pair(straight.p50, straight.p99).padStart(20),
-				pair(routed.p50, routed.p99).padStart(18),
-				pair(routed.p50 - straight.p50, routed.p99 - straight.p99).padStart(17),
+				formatPair(straight.p50Ms, straight.p99Ms).padStart(20),
+				formatPair(routed.p50Ms, routed.p99Ms).padStart(18),
+				formatPair(routed.p50Ms - straight.p50Ms, routed.p99Ms - straight.p99Ms).padStart(17),
 				String(routed.failed + straight.failed).padStart(7),
 			].join('  '),
 		)
 	}
-	print(`resident MB: idle ${idle.toFixed(0)}, after load ${(await resident(router)).toFixed(0)}`)
+	print(
+		`resident MB: idle ${idle.toFixed(0)}, after load ${(await residentMegabytes(router)).toFixed(0)}`,
+	)
 } finally {
 	await fleet.stop()
 }
 
 /** Sends plain-service calls from a number of callers for a while. */
-async function round(
+async function runRound(
 	url: string,
 	headers: Record<string, string>,
 	callers: number,
 	ms: number,
-): Promise<Round> {
+): Promise<RoundResult> {
 	const histogram = build({ numberOfSignificantValueDigits: 3 })
 	const agent = new Agent({ keepAlive: true, maxSockets: callers })
 	const until = performance.now() + ms
@@ -68,23 +75,23 @@
 	async function caller(): Promise<void> {
 		while (performance.now() < until) {
 			const begun = performance.now()
-			const status = await call(url, headers, agent)
+			const status = await sendCall(url, headers, agent)
 			if (status !== 200) failed++
-			histogram.recordValue(Math.round((performance.now() - begun) * MICROSECONDS))
+			histogram.recordValue(Math.round((performance.now() - begun) * MICROSECONDS_PER_MS))
 		}
 	}
 	await Promise.all(Array.from({ length: callers }, caller))
 	agent.destroy()
 	const seconds = (performance.now() - startedAt) / 1_000
 	return {
-		perSecond: histogram.totalCount / seconds,
-		p50: histogram.getValueAtPercentile(50) / MICROSECONDS,
-		p99: histogram.getValueAtPercentile(99) / MICROSECONDS,
+		requestsPerSecond: histogram.totalCount / seconds,
+		p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
+		p99Ms: histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MS,
 		failed,
 	}
 }
 
-function call(url: string, headers: Record<string, string>, agent: Agent): Promise<number> {
+function sendCall(url: string, headers: Record<string, string>, agent: Agent): Promise<number> {
 	return new Promise((resolve) => {
 		const outgoing = httpRequest(url, { method: 'POST', agent, headers }, (response) => {
 			response.resume()
@@ -96,11 +103,11 @@
 	})
 }
 
-async function resident(router: FleetRouter): Promise<number> {
-	return ((await scrape(router)).get('stallwing_resident_bytes') ?? 0) / MEGABYTE
+async function residentMegabytes(router: FleetRouter): Promise<number> {
+	return ((await scrapeMetrics(router)).get('stallwing_resident_bytes') ?? 0) / BYTES_PER_MEGABYTE
 }
 
-function pair(a: number, b: number): string {
+function formatPair(a: number, b: number): string {
 	return `${a.toFixed(2)} / ${b.toFixed(2)}`
 }
 
--- a/internal/bench/src/routing.ts
+++ b/internal/bench/src/routing.ts
@@ -14,70 +14,76 @@
 } from '@stallwing/core'
 import { EventQueue, Random } from '@stallwing/soak'
 
-const SPAN_MS = 60_000
+const DURATION_MS = 60_000
 const REPORT_PERIOD_MS = 1_000
-const TARGETS = 12
+const TARGET_COUNT = 12
 /** Requests that a target serves at full speed; beyond, all of them slow down evenly. */
-const FULL_SPEED = 8
-const SERVICE_MS = 400
-const EJECT_AFTER = 3
-const EJECT_MS = 5_000
-const LOAD = 0.7
+const MAX_FULL_SPEED_REQUESTS = 8
+const SERVICE_TIME_MS = 400
+const EJECT_AFTER_FAILURES = 3
+const EJECTION_MS = 5_000
+const LOAD_SHARE = 0.7
 const PERCENT = 100
 
 interface SimTarget {
 	running: number
 	/** How many times longer than normal a request takes here. */
-	readonly slowness: number
+	readonly slowdown: number
 	/** Share of requests that fail at once. */
-	readonly failing: number
+	readonly failureShare: number
 }
 
 interface Scenario {
 	readonly name: string
-	readonly odd: Partial<SimTarget>
+	readonly firstTarget: Partial<SimTarget>
 }
 
-interface Way {
+interface Strategy {
 	readonly name: string
 	readonly options: Partial<PickOptions>
-	readonly eject: boolean
+	readonly ejectsTargets: boolean
 }
 
 const SCENARIOS: readonly Scenario[] = [
-	{ name: 'all alike', odd: {} },
-	{ name: 'one slow (x5)', odd: { slowness: 5 } },
-	{ name: 'one dead', odd: { failing: 1 } },
-	{ name: 'one grey (30 % fail)', odd: { failing: 0.3 } },
+	{ name: 'all alike', firstTarget: {} },
+	{ name: 'one slow (x5)', firstTarget: { slowdown: 5 } },
+	{ name: 'one dead', firstTarget: { failureShare: 1 } },
+	{ name: 'one grey (30 % fail)', firstTarget: { failureShare: 0.3 } },
 ]
 
-const WAYS: readonly Way[] = [
-	{ name: 'random', options: { policy: 'random' }, eject: false },
-	{ name: 'round robin', options: { policy: 'round-robin' }, eject: false },
-	{ name: 'least reported load', options: { policy: 'least-load', failureCost: 0 }, eject: false },
-	{ name: 'two at random', options: { failureCost: 0 }, eject: false },
-	{ name: 'two, failure cost', options: {}, eject: false },
-	{ name: 'two, ejection', options: { failureCost: 0 }, eject: true },
-	{ name: 'two, both (in force)', options: {}, eject: true },
+const STRATEGIES: readonly Strategy[] = [
+	{ name: 'random', options: { policy: 'random' }, ejectsTargets: false },
+	{ name: 'round robin', options: { policy: 'round-robin' }, ejectsTargets: false },
+	{
+		name: 'least reported load',
+		options: { policy: 'least-load', failureCost: 0 },
+		ejectsTargets: false,
+	},
+	{ name: 'two at random', options: { failureCost: 0 }, ejectsTargets: false },
+	{ name: 'two, failure cost', options: {}, ejectsTargets: false },
+	{ name: 'two, ejection', options: { failureCost: 0 }, ejectsTargets: true },
+	{ name: 'two, both (in force)', options: {}, ejectsTargets: true },
 ]
 
 for (const routers of [8, 400]) {
-	process.stdout.write(`\n${routers} routers, ${TARGETS} targets at ${LOAD * PERCENT} % load\n`)
+	process.stdout.write(
+		`\n${routers} routers, ${TARGET_COUNT} targets at ${LOAD_SHARE * PERCENT} % load\n`,
+	)
 	process.stdout.write(`${'way'.padEnd(22)} ${SCENARIOS.map((s) => s.name.padEnd(26)).join('')}\n`)
-	for (const way of WAYS) {
+	for (const way of STRATEGIES) {
 		const cells = SCENARIOS.map((scenario) => simulate(routers, way, scenario).padEnd(26))
 		process.stdout.write(`${way.name.padEnd(22)} ${cells.join('')}\n`)
 	}
 }
 
 /** One run; gives p50, p99 and failed requests. */
-function simulate(routers: number, way: Way, scenario: Scenario): string {
+function simulate(routers: number, way: Strategy, scenario: Scenario): string {
 	const queue = new EventQueue()
 	const random = new Random(42)
-	const targets = Array.from({ length: TARGETS }, (_, i): SimTarget => {
-		return { running: 0, slowness: 1, failing: 0, ...(i === 0 ? scenario.odd : {}) }
+	const targets = Array.from({ length: TARGET_COUNT }, (_, i): SimTarget => {
+		return { running: 0, slowdown: 1, failureShare: 0, ...(i === 0 ? scenario.firstTarget : {}) }
 	})
-	const views = Array.from({ length: routers }, () => targets.map((_, i) => newState(i)))
+	const views = Array.from({ length: routers }, () => targets.map((_, i) => makeTargetState(i)))
 	const latencies: number[] = []
 	let failed = 0
 	const options = { ...DEFAULT_PICK_OPTIONS, ...way.options }
@@ -89,7 +95,7 @@
 				state.reportedAt = queue.now
 				state.startedSinceReport = 0
 			})
-		queue.after(REPORT_PERIOD_MS, report)
+		queue.schedule(REPORT_PERIOD_MS, report)
 	}
 
 	function send(): void {
@@ -104,12 +110,12 @@
 	function serve(state: TargetState, target: SimTarget): void {
 		state.inFlight++
 		state.startedSinceReport++
-		const fails = random.chance(target.failing)
+		const fails = random.chance(target.failureShare)
 		target.running++
-		const crowding = Math.max(1, target.running / FULL_SPEED)
+		const crowding = Math.max(1, target.running / MAX_FULL_SPEED_REQUESTS)
 		const spread = 0.5 + random.next()
-		const ms = fails ? 5 : SERVICE_MS * target.slowness * crowding * spread
-		queue.after(ms, () => {
+		const ms = fails ? 5 : SERVICE_TIME_MS * target.slowdown * crowding * spread
+		queue.schedule(ms, () => {
 			state.inFlight--
 			target.running--
 			note(state, fails, ms)
@@ -119,17 +125,17 @@
 	function note(state: TargetState, fails: boolean, ms: number): void {
 		state.failureRate += 0.1 * (Number(fails) - state.failureRate)
 		state.consecutiveFailures = fails ? state.consecutiveFailures + 1 : 0
-		if (way.eject && state.consecutiveFailures >= EJECT_AFTER)
-			state.ejectedUntil = queue.now + EJECT_MS
+		if (way.ejectsTargets && state.consecutiveFailures >= EJECT_AFTER_FAILURES)
+			state.ejectedUntil = queue.now + EJECTION_MS
 		if (fails) failed++
 		else latencies.push(ms)
 	}
 
 	report()
-	const perMs = (TARGETS * FULL_SPEED * LOAD) / SERVICE_MS
-	const count = Math.floor(perMs * SPAN_MS)
-	for (let i = 0; i < count; i++) queue.after(random.next() * SPAN_MS, send)
-	while (queue.step(SPAN_MS));
+	const perMs = (TARGET_COUNT * MAX_FULL_SPEED_REQUESTS * LOAD_SHARE) / SERVICE_TIME_MS
+	const count = Math.floor(perMs * DURATION_MS)
+	for (let i = 0; i < count; i++) queue.schedule(random.next() * DURATION_MS, send)
+	while (queue.runNext(DURATION_MS));
 	latencies.sort((a, b) => a - b)
 	const at = (share: number): string => {
 		return (latencies[Math.floor(latencies.length * share)] ?? 0).toFixed(0)
@@ -137,7 +143,7 @@
 	return `${at(0.5)} / ${at(0.99)} ms, ${((failed / count) * PERCENT).toFixed(2)} %`
 }
 
-function newState(i: number): TargetState {
+function makeTargetState(i: number): TargetState {
 	const record = {
 		name: brandId<TargetName>(String(i)),
 		zone: brandId<ZoneName>('zone-a'),
@@ -147,5 +153,5 @@
 		concurrency: 64,
 		leaving: false,
 	}
-	return newTargetState(record, -SPAN_MS)
+	return newTargetState(record, -DURATION_MS)
 }
--- a/internal/demo/src/lib/DemoFleet.ts
+++ b/internal/demo/src/lib/DemoFleet.ts
@@ -4,14 +4,16 @@
 import { fileURLToPath } from 'node:url'
 import type { EngineModel } from '@stallwing/standins'
 import { DEMO_ACCOUNTS, demoBundle, type DemoTarget } from './demoBundle.js'
-import { ProcessGroup, type Started } from './ProcessGroup.js'
+import { ProcessGroup, type StartedProcess } from './ProcessGroup.js'
 
-const CLI = fileURLToPath(new URL('../../../../apps/stallwing/bin/stallwing.js', import.meta.url))
-const STANDIN = fileURLToPath(
+const CLI_PROGRAM = fileURLToPath(
+	new URL('../../../../apps/stallwing/bin/stallwing.js', import.meta.url),
+)
+const STANDIN_PROGRAM = fileURLToPath(
 	new URL('../../../../packages/standins/dist/main.js', import.meta.url),
 )
 const READY_TIMEOUT_MS = 20_000
-const READY_POLL_MS = 50
+const READY_POLL_PERIOD_MS = 50
 
 /** Size of a fleet. */
 export interface FleetOptions {
@@ -22,17 +24,17 @@
 	/** Cost model of the engines. */
 	readonly engineModel: Partial<EngineModel>
 	/** Takes every log line of every router. */
-	readonly onLog: (line: string) => void
+	readonly onLogLine: (line: string) => void
 }
 
 /** Two availability zones of two routers, two engines and one service each. */
-export const DEFAULT_FLEET: FleetOptions = {
+export const DEFAULT_FLEET_OPTIONS: FleetOptions = {
 	zones: 2,
 	routersPerZone: 2,
 	enginesPerZone: 2,
 	servicesPerZone: 1,
 	engineModel: {},
-	onLog: () => undefined,
+	onLogLine: () => undefined,
 }
 
 /** A router that runs. */
@@ -40,46 +42,49 @@
 	readonly box: string
 	readonly zone: string
 	readonly url: string
-	readonly admin: string
+	readonly adminUrl: string
 	readonly pid: number
-	readonly process: Started
+	readonly process: StartedProcess
 }
 
 /** A target that runs. */
 export interface FleetTarget extends DemoTarget {
 	readonly pid: number
-	readonly process: Started
+	readonly process: StartedProcess
 }
 
 interface Operator {
 	readonly name: string
 	readonly publicKey: string
-	readonly file: string
+	readonly privateKeyFile: string
 }
 
 /** A whole fleet of real processes on the loopback address, with its stand-ins. */
 export class DemoFleet {
 	readonly routers: FleetRouter[] = []
 	readonly targets: FleetTarget[] = []
-	readonly operatorFile: string
+	readonly operatorConfigFile: string
 	platform = { url: '', pid: 0 }
 	/** The first bundle, as a document. */
 	bundle: unknown
-	private readonly group = new ProcessGroup()
-	private readonly folder = mkdtempSync(join(tmpdir(), 'stallwing-demo-'))
+	private readonly processes = new ProcessGroup()
+	private readonly directory = mkdtempSync(join(tmpdir(), 'stallwing-demo-'))
 	private readonly operators: Operator[] = []
 	private readonly options: FleetOptions
 
 	constructor(options: Partial<FleetOptions> = {}) {
-		this.options = { ...DEFAULT_FLEET, ...options }
-		this.operatorFile = join(this.folder, 'author.jsonc')
+		this.options = { ...DEFAULT_FLEET_OPTIONS, ...options }
+		this.operatorConfigFile = join(this.directory, 'author.jsonc')
 	}
 
 	/** Starts everything and accepts the bundle through the command line. */
 	async start(): Promise<void> {
-		const platform = await this.standin('platform', {})
-		this.platform = { url: String(platform.ready.url), pid: Number(platform.ready.pid) }
-		const zones = this.zones()
+		const platform = await this.startStandin('platform', {})
+		this.platform = {
+			url: String(platform.readyMessage.url),
+			pid: Number(platform.readyMessage.pid),
+		}
+		const zones = this.zoneNames()
 		for (const zone of zones) await this.startTargets(zone)
 		for (const name of ['author', 'approver']) await this.addOperator(name)
 		const boxes = zones.flatMap((zone) =>
@@ -90,56 +95,61 @@
 		)
 		const routers = await Promise.all(boxes.map(({ box, zone }) => this.startRouter(box, zone)))
 		this.routers.push(...routers)
-		this.writeOperators()
+		this.writeOperatorConfigs()
 		const text = demoBundle(zones, this.targets)
 		this.bundle = JSON.parse(text.slice(text.indexOf('{')))
 		await this.acceptBundle(text)
-		await this.waitReady()
+		await this.waitUntilReady()
 	}
 
 	/** Path of a file in the folder of this fleet. */
-	file(name: string): string {
-		return join(this.folder, name)
+	filePath(name: string): string {
+		return join(this.directory, name)
 	}
 
 	/** Runs a stallwing command as one of the two operators, `author` or `approver`. */
-	as(
+	runAs(
 		operator: string,
 		...args: string[]
 	): Promise<{ code: number | null; out: string; err: string }> {
-		return this.group.run([CLI, '--operator-config', this.file(`${operator}.jsonc`), ...args])
+		return this.processes.run([
+			CLI_PROGRAM,
+			'--operator-config',
+			this.filePath(`${operator}.jsonc`),
+			...args,
+		])
 	}
 
 	/**
 	 * Proposes and approves a version of the first bundle, with a change. Returns its hash, to be
 	 * accepted.
 	 */
-	async approveVersion(
+	async approveBundleVersion(
 		version: number,
 		change: (bundle: DemoBundle) => void = noChange,
 	): Promise<string> {
 		const bundle = structuredClone(this.bundle) as DemoBundle
 		change(bundle)
-		const file = this.file(`bundle-${version}-${Math.floor(performance.now())}.jsonc`)
+		const file = this.filePath(`bundle-${version}-${Math.floor(performance.now())}.jsonc`)
 		writeFileSync(file, JSON.stringify({ ...bundle, version }))
-		const hash = (await this.must('author', 'bundle', 'propose', file)).trim()
-		await this.must('approver', 'bundle', 'sign', hash)
+		const hash = (await this.runAsOrThrow('author', 'bundle', 'propose', file)).trim()
+		await this.runAsOrThrow('approver', 'bundle', 'sign', hash)
 		return hash
 	}
 
 	/** Runs a stallwing command as the author. */
-	cli(...args: string[]): Promise<{ code: number | null; out: string; err: string }> {
-		return this.group.run([CLI, '--operator-config', this.operatorFile, ...args])
+	runCli(...args: string[]): Promise<{ code: number | null; out: string; err: string }> {
+		return this.processes.run([CLI_PROGRAM, '--operator-config', this.operatorConfigFile, ...args])
 	}
 
 	/** The command line of a stallwing command, for others to run. */
 	commandLine(...args: string[]): string[] {
-		return [process.execPath, CLI, '--operator-config', this.operatorFile, ...args]
+		return [process.execPath, CLI_PROGRAM, '--operator-config', this.operatorConfigFile, ...args]
 	}
 
 	/** Starts a router process; a box name that ran before is a new incarnation. */
 	async startRouter(box: string, zone: string): Promise<FleetRouter> {
-		const file = join(this.folder, `${box}.jsonc`)
+		const file = join(this.directory, `${box}.jsonc`)
 		const settings = {
 			box,
 			zone,
@@ -148,28 +158,28 @@
 			operators: this.operators.map(({ name, publicKey }) => ({ name, publicKey })),
 		}
 		writeFileSync(file, `// Settings of ${box}.\n${JSON.stringify(settings, null, '\t')}\n`)
-		const args = [CLI, 'router', '--config', file, '--ready-fd']
-		const process = await this.group.start(args, 'stderr', this.options.onLog)
-		const { callers, admin } = process.ready as { callers: string; admin: string }
-		return { box, zone, url: callers, admin, pid: process.child.pid ?? 0, process }
+		const args = [CLI_PROGRAM, 'router', '--config', file, '--ready-fd']
+		const process = await this.processes.start(args, 'stderr', this.options.onLogLine)
+		const { callers, admin } = process.readyMessage as { callers: string; admin: string }
+		return { box, zone, url: callers, adminUrl: admin, pid: process.child.pid ?? 0, process }
 	}
 
 	/** Starts a box anew in place of a router that has ended, and waits until it is ready. */
 	async replaceRouter(old: FleetRouter): Promise<void> {
 		const fresh = await this.startRouter(old.box, old.zone)
 		this.routers.splice(this.routers.indexOf(old), 1, fresh)
-		this.writeOperators()
-		await this.waitReady()
+		this.writeOperatorConfigs()
+		await this.waitUntilReady()
 	}
 
 	/** Waits until every router that runs is ready. */
-	async waitReady(): Promise<void> {
+	async waitUntilReady(): Promise<void> {
 		const until = Date.now() + READY_TIMEOUT_MS
 		for (const router of this.routers) {
 			if (router.process.child.exitCode !== null || router.process.child.signalCode) continue
 			while (!(await isReady(router.url))) {
 				if (Date.now() > until) throw new FleetNotReady(router.box)
-				await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS))
+				await new Promise((resolve) => setTimeout(resolve, READY_POLL_PERIOD_MS))
 			}
 		}
 	}
@@ -177,17 +187,17 @@
 	/** Ends all processes, the routers first, and removes the files. */
 	async stop(): Promise<void> {
 		const running = this.routers.map((router) => router.process)
-		await this.group.stop(running.filter((started) => started.child.exitCode === null))
-		await this.group.stopAll()
-		rmSync(this.folder, { recursive: true, force: true })
+		await this.processes.stop(running.filter((started) => started.child.exitCode === null))
+		await this.processes.stopAll()
+		rmSync(this.directory, { recursive: true, force: true })
 	}
 
-	private zones(): string[] {
+	private zoneNames(): string[] {
 		return Array.from({ length: this.options.zones }, (_, i) => `rosario-${'abcdefgh'[i] ?? i}`)
 	}
 
-	private standin(kind: string, options: object): Promise<Started> {
-		return this.group.start([STANDIN, kind, '0', JSON.stringify(options)], 'stdout')
+	private startStandin(kind: string, options: object): Promise<StartedProcess> {
+		return this.processes.start([STANDIN_PROGRAM, kind, '0', JSON.stringify(options)], 'stdout')
 	}
 
 	private async startTargets(zone: string): Promise<void> {
@@ -196,48 +206,48 @@
 			...Array.from({ length: enginesPerZone }, () => 'engine' as const),
 			...Array.from({ length: servicesPerZone }, () => 'service' as const),
 		]
-		const model = { ...DEFAULT_DEMO_MODEL, ...engineModel }
+		const model = { ...DEFAULT_ENGINE_MODEL, ...engineModel }
 		const started = await Promise.all(
 			kinds.map(async (kind, i) => {
-				const process = await this.standin(kind, kind === 'engine' ? { model } : {})
-				const url = String(process.ready.url)
+				const process = await this.startStandin(kind, kind === 'engine' ? { model } : {})
+				const url = String(process.readyMessage.url)
 				const name = `${zone}-${kind}-${i + 1}`
-				return { name, zone, kind, url, pid: Number(process.ready.pid), process }
+				return { name, zone, kind, url, pid: Number(process.readyMessage.pid), process }
 			}),
 		)
 		this.targets.push(...started)
 	}
 
 	private async addOperator(name: string): Promise<void> {
-		const file = join(this.folder, `${name}.pem`)
-		const made = await this.group.run([CLI, 'operator', 'key', name, file])
+		const file = join(this.directory, `${name}.pem`)
+		const made = await this.processes.run([CLI_PROGRAM, 'operator', 'key', name, file])
 		const { publicKey } = JSON.parse(made.out) as { publicKey: string }
-		this.operators.push({ name, publicKey, file })
+		this.operators.push({ name, publicKey, privateKeyFile: file })
 	}
 
-	private writeOperators(): void {
+	private writeOperatorConfigs(): void {
 		const operators = this.operators.map(({ name, publicKey }) => ({ name, publicKey }))
-		for (const { name, file } of this.operators) {
+		for (const { name, privateKeyFile: file } of this.operators) {
 			const config = {
 				platform: this.platform.url,
 				operator: { name, privateKeyFile: file },
 				operators,
-				routers: this.routers.map((router) => router.admin),
+				routers: this.routers.map((router) => router.adminUrl),
 			}
-			writeFileSync(join(this.folder, `${name}.jsonc`), JSON.stringify(config, null, '\t'))
+			writeFileSync(join(this.directory, `${name}.jsonc`), JSON.stringify(config, null, '\t'))
 		}
 	}
 
 	private async acceptBundle(text: string): Promise<void> {
-		const file = join(this.folder, 'bundle.jsonc')
+		const file = join(this.directory, 'bundle.jsonc')
 		writeFileSync(file, text)
-		const hash = (await this.must('author', 'bundle', 'propose', file)).trim()
-		await this.must('approver', 'bundle', 'sign', hash)
-		await this.must('author', 'bundle', 'accept', hash)
+		const hash = (await this.runAsOrThrow('author', 'bundle', 'propose', file)).trim()
+		await this.runAsOrThrow('approver', 'bundle', 'sign', hash)
+		await this.runAsOrThrow('author', 'bundle', 'accept', hash)
 	}
 
-	private async must(operator: string, ...args: string[]): Promise<string> {
-		const result = await this.as(operator, ...args)
+	private async runAsOrThrow(operator: string, ...args: string[]): Promise<string> {
+		const result = await this.runAs(operator, ...args)
 		if (result.code !== 0) throw new CommandFailed(args.join(' '), result.err)
 		return result.out
 	}
@@ -254,7 +264,7 @@
 }
 
 /** Engines of the demo answer fast, so that it ends soon. */
-const DEFAULT_DEMO_MODEL: EngineModel = {
+const DEFAULT_ENGINE_MODEL: EngineModel = {
 	batchLimit: 32,
 	stepMs: 4,
 	stepPerRequestMs: 0.1,
--- a/internal/demo/src/lib/ProcessGroup.ts
+++ b/internal/demo/src/lib/ProcessGroup.ts
@@ -2,36 +2,36 @@
 import { createInterface } from 'node:readline'
 
 const READY_TIMEOUT_MS = 20_000
-const KILL_AFTER_MS = 35_000
+const KILL_TIMEOUT_MS = 35_000
 
 /** A process that a script started. */
-export interface Started {
+export interface StartedProcess {
 	readonly child: ChildProcess
 	/** First JSON line that it printed. */
-	readonly ready: Record<string, unknown>
+	readonly readyMessage: Record<string, unknown>
 	readonly exited: Promise<number | null>
 }
 
 /** Starts processes for a script, and ends just those. A stallwing process starts none itself. */
 export class ProcessGroup {
-	private readonly started = new Set<Started>()
+	private readonly running = new Set<StartedProcess>()
 
 	/** Starts a Node program and waits for its first JSON line on the given stream. */
 	async start(
 		args: readonly string[],
 		readyOn: 'stdout' | 'stderr',
 		onLine: (line: string) => void = () => undefined,
-	): Promise<Started> {
+	): Promise<StartedProcess> {
 		const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'pipe'] })
 		const exited = new Promise<number | null>((resolve) => child.on('exit', resolve))
-		const ready = this.firstLine(child, readyOn, onLine)
+		const ready = this.readReadyMessage(child, readyOn, onLine)
 		const failed = exited.then((code) => {
 			throw new ProcessFailed(args.join(' '), code)
 		})
 		const first = await Promise.race([ready, failed])
-		const entry: Started = { child, ready: first, exited }
-		this.started.add(entry)
-		void exited.then(() => this.started.delete(entry))
+		const entry: StartedProcess = { child, readyMessage: first, exited }
+		this.running.add(entry)
+		void exited.then(() => this.running.delete(entry))
 		return entry
 	}
 
@@ -48,23 +48,23 @@
 
 	/** Asks every process that was started and still runs to end, and waits until all have. */
 	stopAll(): Promise<void> {
-		return this.stop([...this.started])
+		return this.stop([...this.running])
 	}
 
 	/** Asks processes to end, and waits until they have. */
-	async stop(all: readonly Started[]): Promise<void> {
+	async stop(all: readonly StartedProcess[]): Promise<void> {
 		for (const entry of all) {
 			entry.child.kill('SIGCONT')
 			entry.child.kill('SIGTERM')
 		}
 		const timer = setTimeout(() => {
 			for (const entry of all) entry.child.kill('SIGKILL')
-		}, KILL_AFTER_MS)
+		}, KILL_TIMEOUT_MS)
 		await Promise.all(all.map((entry) => entry.exited))
 		clearTimeout(timer)
 	}
 
-	private firstLine(
+	private readReadyMessage(
 		child: ChildProcess,
 		readyOn: 'stdout' | 'stderr',
 		onLine: (line: string) => void,
@@ -93,9 +93,9 @@
 export class ProcessFailed extends Error {
 	readonly kind = 'process-failed'
 	constructor(
-		readonly what: string,
-		readonly code: number | null,
+		readonly command: string,
+		readonly exitCode: number | null,
 	) {
-		super(`${what} ended with ${String(code)} before it was ready`)
+		super(`${command} ended with ${String(exitCode)} before it was ready`)
 	}
 }
--- a/internal/demo/src/lib/demoRequests.ts
+++ b/internal/demo/src/lib/demoRequests.ts
@@ -3,24 +3,24 @@
 
 /** One line of the demo's report. */
 export interface DemoResult {
-	readonly what: string
+	readonly label: string
 	readonly status: number
-	readonly run: string
+	readonly runState: string
 	readonly requestId: string
-	readonly ms: number
-	readonly note: string
+	readonly durationMs: number
+	readonly summary: string
 }
 
 /** What a request of the demo sends. */
 export interface DemoCall {
-	readonly what: string
+	readonly label: string
 	readonly account: DemoAccount
 	readonly path: string
 	readonly body: unknown
 	readonly headers?: Readonly<Record<string, string>>
 }
 
-function chat(content: string, stream: boolean): unknown {
+function chatRequestBody(content: string, stream: boolean): unknown {
 	return { model: 'heat-small', stream, messages: [{ role: 'user', content }] }
 }
 
@@ -32,55 +32,55 @@
 	const key = { 'idempotency-key': 'valve-17-closed' }
 	return [
 		{
-			what: 'fault summary, streamed',
+			label: 'fault summary, streamed',
 			account: dispatch,
 			path,
-			body: chat('Summarise the faults of substation 9.', true),
+			body: chatRequestBody('Summarise the faults of substation 9.', true),
 		},
 		{
-			what: 'tariff letter, whole',
+			label: 'tariff letter, whole',
 			account: billing,
 			path,
-			body: chat('Draft a letter on the new tariff.', false),
+			body: chatRequestBody('Draft a letter on the new tariff.', false),
 		},
 		{
-			what: 'valve note, streamed',
+			label: 'valve note, streamed',
 			account: field,
 			path,
-			body: chat('Note: valve 17 is stiff.', true),
+			body: chatRequestBody('Note: valve 17 is stiff.', true),
 		},
 		{
-			what: 'meter reading, urgent',
+			label: 'meter reading, urgent',
 			account: billing,
 			path: '/services/meters/readings',
 			body: { meter: 4, value: 1871 },
 			headers: urgent,
 		},
 		{
-			what: 'acknowledgement, first',
+			label: 'acknowledgement, first',
 			account: dispatch,
 			path: '/services/meters/ack',
 			body: { valve: 17 },
 			headers: { ...urgent, ...key },
 		},
 		{
-			what: 'acknowledgement, again',
+			label: 'acknowledgement, again',
 			account: dispatch,
 			path: '/services/meters/ack',
 			body: { valve: 17 },
 			headers: { ...urgent, ...key },
 		},
 		{
-			what: 'unknown model',
+			label: 'unknown model',
 			account: field,
 			path,
-			body: { ...(chat('?', false) as object), model: 'none' },
+			body: { ...(chatRequestBody('?', false) as object), model: 'none' },
 		},
 	]
 }
 
 /** Sends a request to a router and reads the whole answer. */
-export async function sendCall(url: string, call: DemoCall): Promise<DemoResult> {
+export async function sendDemoCall(url: string, call: DemoCall): Promise<DemoResult> {
 	const startedAt = performance.now()
 	const reply = await fetch(`${url}${call.path}`, {
 		method: 'POST',
@@ -93,16 +93,16 @@
 	})
 	const text = await reply.text()
 	return {
-		what: call.what,
+		label: call.label,
 		status: reply.status,
-		run: reply.headers.get('stallwing-run') ?? '',
+		runState: reply.headers.get('stallwing-run') ?? '',
 		requestId: reply.headers.get('stallwing-request-id') ?? '',
-		ms: Math.round(performance.now() - startedAt),
-		note: noteOf(text),
+		durationMs: Math.round(performance.now() - startedAt),
+		summary: summarizeBody(text),
 	}
 }
 
-function noteOf(text: string): string {
+function summarizeBody(text: string): string {
 	if (text.startsWith('data:')) {
 		const whole = text.trimEnd().endsWith('data: [DONE]')
 		return `${text.split('\n\n').length - 1} events, ${whole ? 'whole' : 'broken'}`
@@ -115,7 +115,7 @@
 	const results: DemoResult[] = []
 	for (const [i, call] of demoCalls().entries()) {
 		const router = fleet.routers[i % fleet.routers.length]
-		if (router) results.push(await sendCall(router.url, call))
+		if (router) results.push(await sendDemoCall(router.url, call))
 	}
 	return results
 }
--- a/internal/demo/src/lib/testFleet.ts
+++ b/internal/demo/src/lib/fleetTestHelpers.ts
@@ -7,16 +7,16 @@
 /** A caller's answer: head and text, or that the connection broke. */
 export interface Reply {
 	readonly status: number
-	readonly run: string
-	readonly id: string
+	readonly runState: string
+	readonly requestId: string
 	readonly retryAfter: string | null
 	readonly text: string
 	/** True where the connection was reset before the end. */
-	readonly broken: boolean
+	readonly wasReset: boolean
 }
 
 /** What a test sends. */
-export interface TestCall {
+export interface TestRequest {
 	readonly path?: string
 	readonly body?: string
 	readonly headers?: Readonly<Record<string, string>>
@@ -27,7 +27,7 @@
 }
 
 /** Row of `stallwing budget show --json`. */
-export interface BudgetLine {
+export interface BudgetRow {
 	readonly budget: string
 	readonly prepaid: number
 	readonly billed: number
@@ -41,7 +41,7 @@
 }
 
 /** Sends a request and reads the answer to its end, whole or broken. */
-export async function send(url: string, call: TestCall = {}): Promise<Reply> {
+export async function sendRequest(url: string, call: TestRequest = {}): Promise<Reply> {
 	const account = call.account ?? (DEMO_ACCOUNTS[0] as DemoAccount)
 	const headers = {
 		'content-type': 'application/json',
@@ -57,12 +57,12 @@
 			...(call.signal ? { signal: call.signal } : {}),
 		})
 	} catch {
-		return { status: 0, run: '', id: '', retryAfter: null, text: '', broken: true }
+		return { status: 0, runState: '', requestId: '', retryAfter: null, text: '', wasReset: true }
 	}
 	const head = {
 		status: reply.status,
-		run: reply.headers.get('stallwing-run') ?? '',
-		id: reply.headers.get('stallwing-request-id') ?? '',
+		runState: reply.headers.get('stallwing-run') ?? '',
+		requestId: reply.headers.get('stallwing-request-id') ?? '',
 		retryAfter: reply.headers.get('retry-after'),
 	}
 	let text = ''
@@ -71,35 +71,35 @@
 			text += Buffer.from(chunk as Uint8Array).toString()
 			call.onText?.(text)
 		}
-		return { ...head, text, broken: false }
+		return { ...head, text, wasReset: false }
 	} catch {
-		return { ...head, text, broken: true }
+		return { ...head, text, wasReset: true }
 	}
 }
 
 /** Sends again with the same key until there is a whole answer, as a patient caller does. */
-export async function sendUntilWhole(
+export async function sendUntilComplete(
 	urls: () => readonly string[],
-	call: TestCall,
+	call: TestRequest,
 	tries = 60,
 ): Promise<Reply> {
 	let last: Reply | undefined
 	for (let i = 0; i < tries; i++) {
 		const list = urls()
-		last = await send(list[i % list.length] as string, call)
-		if (last.status === 200 && !last.broken) return last
+		last = await sendRequest(list[i % list.length] as string, call)
+		if (last.status === 200 && !last.wasReset) return last
 		await sleep(250)
 	}
 	throw new Error(`no whole answer in ${tries} tries: ${JSON.stringify(last)}`)
 }
 
 /** True where a stream has its final marker. */
-export function isWhole(reply: Reply): boolean {
+export function isComplete(reply: Reply): boolean {
 	return reply.text.trimEnd().endsWith('data: [DONE]')
 }
 
 /** Runs of each request id over all targets. */
-export async function runsOf(fleet: DemoFleet): Promise<Map<string, number>> {
+export async function fetchRunCounts(fleet: DemoFleet): Promise<Map<string, number>> {
 	const sums = new Map<string, number>()
 	for (const target of fleet.targets) {
 		const runs = (await (await fetch(`${target.url}/standin/runs`)).json()) as Record<
@@ -112,7 +112,7 @@
 }
 
 /** Sets faults of a stand-in. */
-export async function setFaults(url: string, faults: object): Promise<void> {
+export async function setStandinFaults(url: string, faults: object): Promise<void> {
 	const reply = await fetch(`${url}/standin/faults`, {
 		method: 'POST',
 		body: JSON.stringify(faults),
@@ -126,18 +126,19 @@
 	kind: FleetTarget['kind'],
 	faults: object,
 ): Promise<void> {
-	for (const target of fleet.targets) if (target.kind === kind) await setFaults(target.url, faults)
+	for (const target of fleet.targets)
+		if (target.kind === kind) await setStandinFaults(target.url, faults)
 }
 
 /** The budgets as the command line shows them. */
-export async function budgets(fleet: DemoFleet): Promise<Map<string, BudgetLine>> {
-	const { out } = await fleet.cli('budget', 'show', '--json')
-	return new Map((JSON.parse(out) as BudgetLine[]).map((row) => [row.budget, row]))
+export async function fetchBudgets(fleet: DemoFleet): Promise<Map<string, BudgetRow>> {
+	const { out } = await fleet.runCli('budget', 'show', '--json')
+	return new Map((JSON.parse(out) as BudgetRow[]).map((row) => [row.budget, row]))
 }
 
 /** A router's own status document. */
-export async function statusOf(router: FleetRouter): Promise<Record<string, unknown>> {
-	return (await (await fetch(`${router.admin}/status`)).json()) as Record<string, unknown>
+export async function fetchStatus(router: FleetRouter): Promise<Record<string, unknown>> {
+	return (await (await fetch(`${router.adminUrl}/status`)).json()) as Record<string, unknown>
 }
 
 /** Charge of a whole chat answer of the demo's model, from its usage. */
@@ -152,7 +153,7 @@
 }
 
 /** Waits until something holds; fails after a generous limit. */
-export async function eventually(what: string, holds: () => Promise<boolean>): Promise<void> {
+export async function waitUntil(what: string, holds: () => Promise<boolean>): Promise<void> {
 	for (let i = 0; i < 400; i++) {
 		if (await holds()) return
 		await sleep(100)
--- a/internal/demo/src/lib/requests.test.ts
+++ b/internal/demo/src/lib/requests.test.ts
@@ -2,26 +2,26 @@
 import { DEMO_ACCOUNTS, type DemoAccount } from './demoBundle.js'
 import { DemoFleet } from './DemoFleet.js'
 import {
-	budgets,
+	fetchBudgets,
 	chargeOf,
 	chatBody,
-	eventually,
-	isWhole,
-	runsOf,
-	send,
+	waitUntil,
+	isComplete,
+	fetchRunCounts,
+	sendRequest,
 	setTargetFaults,
-} from './testFleet.js'
+} from './fleetTestHelpers.js'
 
 /** Bad input, bad targets and impatient callers, on real processes. */
 
 const fleet = new DemoFleet({ zones: 1 })
 const field = DEMO_ACCOUNTS[2] as DemoAccount
-const NEVER = { 'stallwing-repeat': 'never', 'stallwing-priority': 'urgent' }
+const NON_REPEATABLE_HEADERS = { 'stallwing-repeat': 'never', 'stallwing-priority': 'urgent' }
 
 beforeAll(() => fleet.start())
 afterAll(() => fleet.stop())
 
-function url(i = 0): string {
+function routerUrl(i = 0): string {
 	return fleet.routers[i]?.url ?? ''
 }
 
@@ -41,51 +41,51 @@
 		['a bad bearer key', { headers: { authorization: 'Bearer no' } }, 401, 'bad-key'],
 		['a bad priority', { headers: { 'stallwing-priority': 'now' } }, 400, 'malformed-request'],
 	])('refuse %s as not run', async (_, call, status, type) => {
-		const before = (await runsOf(fleet)).size
-		const reply = await send(url(), call)
+		const before = (await fetchRunCounts(fleet)).size
+		const reply = await sendRequest(routerUrl(), call)
 		expect(reply.status).toBe(status)
-		expect(reply.run).toBe('no')
+		expect(reply.runState).toBe('no')
 		expect((JSON.parse(reply.text) as { error: { type: string } }).error.type).toBe(type)
-		expect((await runsOf(fleet)).size).toBe(before)
+		expect((await fetchRunCounts(fleet)).size).toBe(before)
 	})
 
 	it('refuse a key that was used with another body', async () => {
 		const headers = { 'idempotency-key': 'reused-1' }
-		expect((await send(url(0), { headers, body: chatBody('one') })).status).toBe(200)
-		const second = await send(url(1), { headers, body: chatBody('two') })
+		expect((await sendRequest(routerUrl(0), { headers, body: chatBody('one') })).status).toBe(200)
+		const second = await sendRequest(routerUrl(1), { headers, body: chatBody('two') })
 		expect(second.status).toBe(409)
 	})
 
 	it('give two tries of one key the same answer, run and billed once', async () => {
-		const headers = { 'idempotency-key': 'twice-1', ...NEVER }
-		const before = (await budgets(fleet)).get('field')?.billed ?? 0
-		const tries = [0, 1, 0, 1].map((i) => send(url(i), { headers, account: field }))
+		const headers = { 'idempotency-key': 'twice-1', ...NON_REPEATABLE_HEADERS }
+		const before = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
+		const tries = [0, 1, 0, 1].map((i) => sendRequest(routerUrl(i), { headers, account: field }))
 		const replies = await Promise.all(tries)
-		const late = await send(url(1), { headers, account: field })
+		const late = await sendRequest(routerUrl(1), { headers, account: field })
 		for (const reply of [...replies, late]) {
 			expect(reply.status).toBe(200)
 			expect(reply.text).toBe(late.text)
 		}
-		expect((await runsOf(fleet)).get(late.id)).toBe(1)
-		const after = (await budgets(fleet)).get('field')?.billed ?? 0
+		expect((await fetchRunCounts(fleet)).get(late.requestId)).toBe(1)
+		const after = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
 		expect(after - before).toBe(chargeOf(late))
 	})
 
 	it('cancel the run of a caller that hangs up, and bill what ran', async () => {
 		const abort = new AbortController()
-		const before = (await budgets(fleet)).get('field')?.billed ?? 0
-		const reply = await send(url(), {
+		const before = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
+		const reply = await sendRequest(routerUrl(), {
 			account: field,
 			signal: abort.signal,
 			onText: (text) => {
 				if (text.split('data:').length > 8) abort.abort()
 			},
 		})
-		expect(isWhole(reply)).toBe(false)
-		await eventually('the reservation is settled', async () => {
-			return (await budgets(fleet)).get('field')?.reserved === 0
+		expect(isComplete(reply)).toBe(false)
+		await waitUntil('the reservation is settled', async () => {
+			return (await fetchBudgets(fleet)).get('field')?.reserved === 0
 		})
-		const billed = ((await budgets(fleet)).get('field')?.billed ?? 0) - before
+		const billed = ((await fetchBudgets(fleet)).get('field')?.billed ?? 0) - before
 		expect(billed).toBeGreaterThan(0)
 		expect(billed).toBeLessThan(14 + 3 * 47)
 	})
@@ -93,17 +93,17 @@
 	it('never end a broken stream as whole, and answer the next try whole', async () => {
 		await setTargetFaults(fleet, 'engine', { closeEarly: 1 })
 		const headers = { 'idempotency-key': 'broken-1' }
-		const first = await send(url(), { headers })
-		expect(first.broken || isWhole(first)).toBe(true)
+		const first = await sendRequest(routerUrl(), { headers })
+		expect(first.wasReset || isComplete(first)).toBe(true)
 		await setTargetFaults(fleet, 'engine', { closeEarly: 0 })
-		const second = await send(url(), { headers })
+		const second = await sendRequest(routerUrl(), { headers })
 		expect(second.status).toBe(200)
-		expect(isWhole(second)).toBe(true)
+		expect(isComplete(second)).toBe(true)
 	})
 
 	it('try another time where a target answers rubbish, and give no rubbish out', async () => {
 		await setTargetFaults(fleet, 'engine', { rubbish: 1 })
-		const reply = await send(url())
+		const reply = await sendRequest(routerUrl())
 		await setTargetFaults(fleet, 'engine', { rubbish: 0 })
 		expect(reply.text).not.toContain('rubbish')
 		expect([200, 502]).toContain(reply.status)
@@ -111,25 +111,33 @@
 
 	it('say unknown where a request that may not be repeated broke off', async () => {
 		await setTargetFaults(fleet, 'service', { closeEarly: 1 })
-		const headers = { 'idempotency-key': 'ack-broken', ...NEVER }
-		const first = await send(url(), { path: '/services/meters/ack', body: '{}', headers })
-		expect([first.status, first.run]).toEqual([502, 'unknown'])
-		const second = await send(url(1), { path: '/services/meters/ack', body: '{}', headers })
-		expect([second.status, second.run]).toEqual([502, 'unknown'])
-		expect((await runsOf(fleet)).get(first.id)).toBe(1)
+		const headers = { 'idempotency-key': 'ack-broken', ...NON_REPEATABLE_HEADERS }
+		const first = await sendRequest(routerUrl(), {
+			path: '/services/meters/ack',
+			body: '{}',
+			headers,
+		})
+		expect([first.status, first.runState]).toEqual([502, 'unknown'])
+		const second = await sendRequest(routerUrl(1), {
+			path: '/services/meters/ack',
+			body: '{}',
+			headers,
+		})
+		expect([second.status, second.runState]).toEqual([502, 'unknown'])
+		expect((await fetchRunCounts(fleet)).get(first.requestId)).toBe(1)
 	})
 
 	it('pass a target over that did not take the request', async () => {
 		await setTargetFaults(fleet, 'engine', { refuse: 1 })
-		const reply = await send(url())
+		const reply = await sendRequest(routerUrl())
 		await setTargetFaults(fleet, 'engine', { refuse: 0 })
 		expect(reply.status).toBe(200)
 	})
 
 	it('answer health, readiness and metrics', async () => {
-		expect((await fetch(`${url()}/healthz`)).status).toBe(200)
-		expect((await fetch(`${url()}/readyz`)).status).toBe(200)
-		const text = await (await fetch(`${url()}/metrics`)).text()
+		expect((await fetch(`${routerUrl()}/healthz`)).status).toBe(200)
+		expect((await fetch(`${routerUrl()}/readyz`)).status).toBe(200)
+		const text = await (await fetch(`${routerUrl()}/metrics`)).text()
 		expect(text).toContain('stallwing_first_byte_ms{quantile="0.99"}')
 		expect(text).toContain('stallwing_peer_bytes_sent_total{kind=')
 	})
@@ -138,10 +146,10 @@
 		const router = fleet.routers[1]
 		if (!router) throw new Error('no second router')
 		// The stop comes once the first bytes have: a timer would race with a busy machine.
-		const reply = await send(router.url, {
+		const reply = await sendRequest(router.url, {
 			onText: () => router.process.child.kill('SIGTERM'),
 		})
-		expect(isWhole(reply)).toBe(true)
+		expect(isComplete(reply)).toBe(true)
 		expect(await router.process.exited).toBe(0)
 	})
 })
--- a/internal/demo/src/main.ts
+++ b/internal/demo/src/main.ts
@@ -32,17 +32,17 @@
 async function report(): Promise<void> {
 	const results = await runDemoCalls(fleet)
 	process.stdout.write('\nRequests\n')
-	for (const { what, status, run, ms, note } of results)
+	for (const { label: what, status, runState: run, durationMs: ms, summary: note } of results)
 		process.stdout.write(
 			`  ${what.padEnd(26)} ${status}  run=${run.padEnd(8)} ${String(ms).padStart(5)} ms  ${note}\n`,
 		)
-	const status = await fleet.cli('status')
+	const status = await fleet.runCli('status')
 	process.stdout.write(`\nRouters\n${indent(status.out)}`)
-	const budgets = await fleet.cli('budget', 'show')
+	const budgets = await fleet.runCli('budget', 'show')
 	process.stdout.write(`\nSpend\n${indent(budgets.out)}`)
 	const first = results[0]
 	if (!first) return
-	const explained = await fleet.cli('explain', first.requestId)
+	const explained = await fleet.runCli('explain', first.requestId)
 	process.stdout.write(`\nWhy the first request ran where it ran\n${indent(explained.out)}`)
 }
 
--- a/internal/soak/src/index.ts
+++ b/internal/soak/src/index.ts
@@ -1,6 +1,6 @@
 /** Worlds of many cores in virtual time, for tests and measurements. */
-export { PromiseBroken, World, type WorldOptions } from './lib/World.js'
-export { collectSums, type BudgetSums } from './lib/checkEnd.js'
+export { InvariantViolation, Simulation, type SimulationOptions } from './lib/Simulation.js'
+export { collectBudgetTotals, type BudgetTotals } from './lib/checkInvariants.js'
 export type { SimBox } from './lib/SimBox.js'
 export { Random } from './lib/Random.js'
 export { EventQueue } from './lib/EventQueue.js'
--- a/internal/soak/src/lib/Callers.ts
+++ b/internal/soak/src/lib/Callers.ts
@@ -7,94 +7,94 @@
 	type RequestId,
 	type RunState,
 } from '@stallwing/core'
-import { INPUT_TOKENS, MAX_OUTPUT_TOKENS, outputTokens } from './FakeTarget.js'
+import { INPUT_TOKENS, MAX_OUTPUT_TOKENS, outputTokensOf } from './FakeTarget.js'
 import type { SimBox } from './SimBox.js'
-import type { World } from './World.js'
+import type { Simulation } from './Simulation.js'
 
 interface SimRequest {
 	readonly key: string
 	readonly account: AccountName
 	readonly budget: BudgetName
-	readonly model: boolean
+	readonly isModel: boolean
 	readonly repeatable: boolean
-	tries: number
-	open: number
+	callCount: number
+	openCallCount: number
 	/** True while every try so far was refused as not run. */
-	onlyNo: boolean
+	allCallsRefusedNotRun: boolean
 	answered: boolean
 	id: RequestId | undefined
 }
 
-interface OpenTry {
+interface OpenCall {
 	readonly request: SimRequest
 	readonly box: SimBox
 	id: RequestId | undefined
 }
 
-const FIRST_BYTE_MS = 6_000
+const FIRST_BYTE_TIMEOUT_MS = 6_000
 /** Price of a plain-service call in the worlds' bundle. */
 export const SERVICE_CHARGE = 7
-const MOST_TRIES = 6
+const MAX_CALLS_PER_REQUEST = 6
 
 /** Callers in virtual time: they send, lose patience, and come back with the same key anywhere. */
 export class Callers {
 	readonly stats = { sent: 0, answered: 0, refused: 0, unknown: 0 }
 	/** Ids whose whole answer reached a caller. */
-	readonly answered = new Set<RequestId>()
+	readonly answeredIds = new Set<RequestId>()
 	/** Ids that may run at most once. */
-	readonly neverRepeat = new Set<RequestId>()
-	readonly isService = new Set<RequestId>()
-	readonly budgetOf = new Map<RequestId, BudgetName>()
-	private readonly open = new Map<CallId, OpenTry>()
-	private nextCall = 1
-	private nextKey = 1
+	readonly nonRepeatableIds = new Set<RequestId>()
+	readonly serviceRequestIds = new Set<RequestId>()
+	readonly budgetByRequest = new Map<RequestId, BudgetName>()
+	private readonly openCalls = new Map<CallId, OpenCall>()
+	private nextCallNumber = 1
+	private nextKeyNumber = 1
 
-	constructor(private readonly world: World) {}
+	constructor(private readonly simulation: Simulation) {}
 
 	/** Charge of a request that ran to its end: the same wherever it ran. */
 	chargeOf(id: RequestId): number {
-		return this.isService.has(id) ? SERVICE_CHARGE : INPUT_TOKENS + 2 * outputTokens(id)
+		return this.serviceRequestIds.has(id) ? SERVICE_CHARGE : INPUT_TOKENS + 2 * outputTokensOf(id)
 	}
 
 	/** Value that an all-knowing oracle would have run of these arrivals, and that was answered. */
-	value(prepaid: number): { oracle: number; ours: number } {
+	compareWithOracle(prepaid: number): { oracleValue: number; answeredValue: number } {
 		const demand = new Map<BudgetName, number>()
-		let ours = 0
-		for (const [id, budget] of this.budgetOf) {
+		let answeredValue = 0
+		for (const [id, budget] of this.budgetByRequest) {
 			demand.set(budget, (demand.get(budget) ?? 0) + this.chargeOf(id))
-			if (this.answered.has(id)) ours += this.chargeOf(id)
+			if (this.answeredIds.has(id)) answeredValue += this.chargeOf(id)
 		}
-		let oracle = 0
-		for (const wanted of demand.values()) oracle += Math.min(prepaid, wanted)
-		return { oracle, ours }
+		let oracleValue = 0
+		for (const wanted of demand.values()) oracleValue += Math.min(prepaid, wanted)
+		return { oracleValue, answeredValue }
 	}
 
 	/** Sends a new request to some box. */
-	sendNew(): void {
-		const { random, queue } = this.world
+	sendNewRequest(): void {
+		const { random, queue } = this.simulation
 		// A few large accounts and many small ones.
-		const rank = Math.floor(random.next() ** 2 * this.world.accounts.length)
-		const account = this.world.accounts[rank] as string
+		const rank = Math.floor(random.next() ** 2 * this.simulation.accounts.length)
+		const account = this.simulation.accounts[rank] as string
 		const model = random.chance(0.7)
-		const zone = random.pick(this.world.zones)
+		const zone = random.pick(this.simulation.zones)
 		const stamp = Math.floor(queue.now).toString(36).padStart(6, '0')
-		const zoned = `${zone}.${stamp}.k${String(this.nextKey).padStart(6, '0')}`
-		const key = random.chance(0.6) ? zoned : `plain-${this.nextKey}`
-		this.nextKey++
+		const zoned = `${zone}.${stamp}.k${String(this.nextKeyNumber).padStart(6, '0')}`
+		const key = random.chance(0.6) ? zoned : `plain-${this.nextKeyNumber}`
+		this.nextKeyNumber++
 		const id = brandId<RequestId>(`${account}/${key}`)
 		const repeatable = random.chance(0.5)
-		if (!repeatable) this.neverRepeat.add(id)
-		this.budgetOf.set(id, brandId<BudgetName>(`budget-${account}`))
-		if (!model) this.isService.add(id)
+		if (!repeatable) this.nonRepeatableIds.add(id)
+		this.budgetByRequest.set(id, brandId<BudgetName>(`budget-${account}`))
+		if (!model) this.serviceRequestIds.add(id)
 		this.send({
 			key,
 			account: brandId<AccountName>(account),
 			budget: brandId<BudgetName>(`budget-${account}`),
-			model,
+			isModel: model,
 			repeatable,
-			tries: 0,
-			open: 0,
-			onlyNo: true,
+			callCount: 0,
+			openCallCount: 0,
+			allCallsRefusedNotRun: true,
 			answered: false,
 			id: undefined,
 		})
@@ -103,128 +103,128 @@
 
 	/** The relaying or first box hands a try to another one. */
 	relay(from: SimBox, callId: CallId, to: SimBox, id: RequestId, account: AccountName): void {
-		const open = this.open.get(callId)
+		const open = this.openCalls.get(callId)
 		if (!open) return
 		const hop = brandId<CallId>(`${callId}>${to.name}`)
-		this.open.set(hop, { request: open.request, box: to, id })
+		this.openCalls.set(hop, { request: open.request, box: to, id })
 		open.id = id
 		const hops = callId.split('>').length
 		const born = from.incarnation
-		this.world.deliver(from, to, () => {
-			to.take({ kind: 'request', request: this.event(open.request, hop, hops, account) })
+		this.simulation.deliver(from, to, () => {
+			to.handle({ kind: 'request', request: this.requestEvent(open.request, hop, hops, account) })
 		})
 		// A relay that gets no answer is seen as broken.
-		this.world.queue.after(FIRST_BYTE_MS, () => {
-			if (!this.open.has(hop)) return
-			this.open.delete(hop)
-			from.take({ kind: 'relay-failed', callId, notRun: false }, born)
+		this.simulation.queue.schedule(FIRST_BYTE_TIMEOUT_MS, () => {
+			if (!this.openCalls.has(hop)) return
+			this.openCalls.delete(hop)
+			from.handle({ kind: 'relay-failed', callId, notRun: false }, born)
 		})
 	}
 
 	/** An answer or refusal of one try. */
 	onRefused(box: SimBox, callId: CallId, refusal: Refusal): void {
-		const open = this.open.get(callId)
+		const open = this.openCalls.get(callId)
 		if (!open) return
-		const parent = parentOf(callId)
-		if (parent === undefined) this.close(callId, open, refusal.run)
-		else this.world.back(box, () => this.passUp(callId, parent, refusal))
+		const parent = parentCallId(callId)
+		if (parent === undefined) this.closeCall(callId, open, refusal.run)
+		else this.simulation.deliverReply(box, () => this.forwardRefusal(callId, parent, refusal))
 	}
 
 	/** A run failed: its callers are told. */
 	onRunFailed(box: SimBox, id: RequestId, refusal: Refusal): void {
-		for (const [callId, open] of [...this.open])
+		for (const [callId, open] of [...this.openCalls])
 			if (open.id === id && open.box === box) this.onRefused(box, callId, refusal)
 	}
 
 	/** The core attached a try to a run. */
 	onAttached(callId: CallId, id: RequestId): void {
-		const open = this.open.get(callId)
+		const open = this.openCalls.get(callId)
 		if (!open) return
 		open.id = id
 		open.request.id = id
-		if (!id.endsWith(open.request.key)) this.world.fail('foreign-answer', { id, callId })
+		if (!id.endsWith(open.request.key)) this.simulation.fail('foreign-answer', { id, callId })
 	}
 
 	/** The answer of a run goes out whole. */
-	onAnswer(box: SimBox, id: RequestId): void {
-		for (const [callId, open] of [...this.open])
-			if (open.id === id && open.box === box) this.pass(callId, open, box)
+	onAnswerComplete(box: SimBox, id: RequestId): void {
+		for (const [callId, open] of [...this.openCalls])
+			if (open.id === id && open.box === box) this.forwardAnswer(callId, open, box)
 	}
 
 	/** A box is gone: its tries are reset. */
 	onBoxDown(box: SimBox): void {
-		for (const [callId, open] of [...this.open]) {
+		for (const [callId, open] of [...this.openCalls]) {
 			if (open.box !== box) continue
-			const parent = parentOf(callId)
-			if (parent === undefined) this.close(callId, open, 'unknown')
-			else this.breakRelay(callId, parent)
+			const parent = parentCallId(callId)
+			if (parent === undefined) this.closeCall(callId, open, 'unknown')
+			else this.failRelay(callId, parent)
 		}
 	}
 
-	private pass(callId: CallId, open: OpenTry, box: SimBox): void {
-		const parent = parentOf(callId)
+	private forwardAnswer(callId: CallId, open: OpenCall, box: SimBox): void {
+		const parent = parentCallId(callId)
 		if (parent === undefined) {
-			if (open.id) this.answered.add(open.id)
+			if (open.id) this.answeredIds.add(open.id)
 			open.request.answered = true
-			this.close(callId, open, 'yes')
+			this.closeCall(callId, open, 'yes')
 			return
 		}
-		this.world.back(box, () => {
-			const above = this.open.get(parent)
-			this.open.delete(callId)
-			if (above) this.pass(parent, above, above.box)
+		this.simulation.deliverReply(box, () => {
+			const above = this.openCalls.get(parent)
+			this.openCalls.delete(callId)
+			if (above) this.forwardAnswer(parent, above, above.box)
 		})
 	}
 
-	private passUp(callId: CallId, parent: CallId, refusal: Refusal): void {
-		this.open.delete(callId)
-		const above = this.open.get(parent)
+	private forwardRefusal(callId: CallId, parent: CallId, refusal: Refusal): void {
+		this.openCalls.delete(callId)
+		const above = this.openCalls.get(parent)
 		if (above) this.onRefused(above.box, parent, refusal)
 	}
 
-	private breakRelay(callId: CallId, parent: CallId): void {
-		this.open.delete(callId)
-		const above = this.open.get(parent)
-		if (above) above.box.take({ kind: 'relay-failed', callId: parent, notRun: false })
+	private failRelay(callId: CallId, parent: CallId): void {
+		this.openCalls.delete(callId)
+		const above = this.openCalls.get(parent)
+		if (above) above.box.handle({ kind: 'relay-failed', callId: parent, notRun: false })
 	}
 
 	private send(request: SimRequest): void {
-		const { random, queue } = this.world
-		const up = this.world.boxes.filter((box) => box.isUp())
+		const { random, queue } = this.simulation
+		const up = this.simulation.boxes.filter((box) => box.isUp())
 		if (up.length === 0) {
-			queue.after(500, () => this.send(request))
+			queue.schedule(500, () => this.send(request))
 			return
 		}
-		request.tries++
-		request.open++
+		request.callCount++
+		request.openCallCount++
 		const box = random.pick(up)
-		const callId = brandId<CallId>(`c${this.nextCall++}`)
-		this.open.set(callId, { request, box, id: undefined })
-		queue.after(1, () => {
-			box.take({ kind: 'request', request: this.event(request, callId, 0, undefined) })
+		const callId = brandId<CallId>(`c${this.nextCallNumber++}`)
+		this.openCalls.set(callId, { request, box, id: undefined })
+		queue.schedule(1, () => {
+			box.handle({ kind: 'request', request: this.requestEvent(request, callId, 0, undefined) })
 		})
-		const impatient = this.world.options.faults && random.chance(0.1)
-		const patience = impatient ? random.between(50, 1000) : 15_000
-		queue.after(patience, () => this.hangUp(callId, box))
+		const impatient = this.simulation.options.injectFaults && random.chance(0.1)
+		const patience = impatient ? random.integerBetween(50, 1000) : 15_000
+		queue.schedule(patience, () => this.disconnect(callId, box))
 		// Some callers ask again before the first try has ended.
-		if (random.chance(0.1) && request.tries < MOST_TRIES)
-			queue.after(random.between(1, 1500), () => this.send(request))
+		if (random.chance(0.1) && request.callCount < MAX_CALLS_PER_REQUEST)
+			queue.schedule(random.integerBetween(1, 1500), () => this.send(request))
 	}
 
-	private hangUp(callId: CallId, box: SimBox): void {
-		const open = this.open.get(callId)
+	private disconnect(callId: CallId, box: SimBox): void {
+		const open = this.openCalls.get(callId)
 		if (!open) return
-		this.close(callId, open, 'unknown')
-		box.take({ kind: 'caller-gone', callId })
+		this.closeCall(callId, open, 'unknown')
+		box.handle({ kind: 'caller-gone', callId })
 	}
 
-	private event(
+	private requestEvent(
 		request: SimRequest,
 		callId: CallId,
 		hops: number,
 		account: AccountName | undefined,
 	) {
-		const { key, model, repeatable, budget } = request
+		const { key, isModel: model, repeatable, budget } = request
 		return {
 			callId,
 			...(account === undefined ? { keyHash: `key-${request.account}` } : { account }),
@@ -241,33 +241,36 @@
 			priority: repeatable ? ('ordinary' as const) : ('urgent' as const),
 			repeatable,
 			budget,
-			deadline: this.world.queue.now + FIRST_BYTE_MS,
+			deadline: this.simulation.queue.now + FIRST_BYTE_TIMEOUT_MS,
 			hops,
 		}
 	}
 
-	private close(callId: CallId, open: OpenTry, run: RunState): void {
-		this.open.delete(callId)
+	private closeCall(callId: CallId, open: OpenCall, run: RunState): void {
+		this.openCalls.delete(callId)
 		const { request } = open
-		request.open--
-		if (run === 'no') this.onNo(request)
-		else request.onlyNo = false
+		request.openCallCount--
+		if (run === 'no') this.checkNotRun(request)
+		else request.allCallsRefusedNotRun = false
 		if (run === 'yes') this.stats.answered++
 		else if (run === 'no') this.stats.refused++
 		else this.stats.unknown++
-		if (request.answered || request.tries >= MOST_TRIES || request.open > 0) return
-		this.world.queue.after(this.world.random.between(100, 4000), () => this.send(request))
+		if (request.answered || request.callCount >= MAX_CALLS_PER_REQUEST || request.openCallCount > 0)
+			return
+		this.simulation.queue.schedule(this.simulation.random.integerBetween(100, 4000), () =>
+			this.send(request),
+		)
 	}
 
 	/** Whoever was only ever told "not run" can rely on it. */
-	private onNo(request: SimRequest): void {
-		if (!request.onlyNo || request.open > 0) return
+	private checkNotRun(request: SimRequest): void {
+		if (!request.allCallsRefusedNotRun || request.openCallCount > 0) return
 		const id = brandId<RequestId>(`${request.account}/${request.key}`)
-		if (this.world.runsOf(id) > 0) this.world.fail('not-run-but-ran', { id })
+		if (this.simulation.runCountOf(id) > 0) this.simulation.fail('not-run-but-ran', { id })
 	}
 }
 
-function parentOf(callId: CallId): CallId | undefined {
+function parentCallId(callId: CallId): CallId | undefined {
 	const at = callId.lastIndexOf('>')
 	return at < 0 ? undefined : brandId<CallId>(callId.slice(0, at))
 }
--- a/internal/soak/src/lib/Random.ts
+++ b/internal/soak/src/lib/Random.ts
@@ -1,6 +1,6 @@
 import prand, { type RandomGenerator } from 'pure-rand'
 
-const TWO_TO_32 = 4_294_967_296
+const UINT32_RANGE = 4_294_967_296
 
 /** Seeded random numbers: the same seed gives the same run. */
 export class Random {
@@ -12,11 +12,11 @@
 
 	/** A number in [0, 1). */
 	next(): number {
-		return (this.generator.unsafeNext() >>> 0) / TWO_TO_32
+		return (this.generator.unsafeNext() >>> 0) / UINT32_RANGE
 	}
 
 	/** A whole number in [low, high]. */
-	between(low: number, high: number): number {
+	integerBetween(low: number, high: number): number {
 		return low + Math.floor(this.next() * (high - low + 1))
 	}
 
--- a/internal/soak/src/lib/SimBox.ts
+++ b/internal/soak/src/lib/SimBox.ts
@@ -10,18 +10,18 @@
 	type Protections,
 	type ZoneName,
 } from '@stallwing/core'
-import type { World } from './World.js'
+import type { Simulation } from './Simulation.js'
 
 /** One box: its core, and what a pause holds back. */
 export class SimBox {
 	core: RouterCore | undefined
 	incarnation = 0
 	private paused = false
-	private held: { event: CoreEvent; born: number }[] = []
-	private lastVersion = 0
+	private heldEvents: { event: CoreEvent; born: number }[] = []
+	private lastBundleVersion = 0
 
 	constructor(
-		private readonly world: World,
+		private readonly simulation: Simulation,
 		readonly name: BoxName,
 		readonly zone: ZoneName,
 		private readonly protections: Protections,
@@ -47,28 +47,28 @@
 	/** Starts the box anew. */
 	boot(confession?: FinalCountersMessage): void {
 		this.incarnation++
-		this.lastVersion = 0
+		this.lastBundleVersion = 0
 		const self = {
 			box: this.name,
 			zone: this.zone,
 			incarnation: this.incarnationName(),
 			address: this.address,
-			timing: { ...DEFAULT_TIMING, ...this.world.options.timing },
+			timing: { ...DEFAULT_TIMING, ...this.simulation.options.timing },
 		}
-		this.core = new RouterCore(self, () => this.world.random.next(), {
+		this.core = new RouterCore(self, () => this.simulation.random.next(), {
 			protections: this.protections,
 			throwOnViolation: true,
 			finalCounters: confession,
 		})
-		this.tickLater(this.incarnation)
+		this.scheduleTick(this.incarnation)
 	}
 
 	/** Kills the box: nothing of it is left. */
 	kill(): void {
 		this.core = undefined
 		this.paused = false
-		this.held = []
-		this.world.callers.onBoxDown(this)
+		this.heldEvents = []
+		this.simulation.callers.onBoxDown(this)
 	}
 
 	pause(): void {
@@ -79,45 +79,46 @@
 	resume(): void {
 		if (!this.paused) return
 		this.paused = false
-		const held = this.held
-		this.held = []
-		for (const { event, born } of held) this.take(event, born)
+		const held = this.heldEvents
+		this.heldEvents = []
+		for (const { event, born } of held) this.handle(event, born)
 	}
 
 	/** Gives the core an event that was meant for one incarnation. */
-	take(event: CoreEvent, born = this.incarnation): void {
+	handle(event: CoreEvent, born = this.incarnation): void {
 		if (!this.core || born !== this.incarnation) return
 		if (this.paused) {
-			if (event.kind !== 'tick') this.held.push({ event, born })
+			if (event.kind !== 'tick') this.heldEvents.push({ event, born })
 			return
 		}
-		const begun = this.world.onHandled ? performance.now() : 0
-		const actions = this.core.handle(event, this.world.queue.now)
-		this.world.onHandled?.(this, event, performance.now() - begun)
-		this.checkVersion()
+		const begun = this.simulation.onHandled ? performance.now() : 0
+		const actions = this.core.handle(event, this.simulation.queue.now)
+		this.simulation.onHandled?.(this, event, performance.now() - begun)
+		this.checkBundleVersion()
 		for (const action of actions) this.perform(action, born)
 	}
 
 	private perform(action: CoreAction, born: number): void {
 		if (action.kind === 'restart') {
-			this.world.callers.onBoxDown(this)
+			this.simulation.callers.onBoxDown(this)
 			this.boot(action.finalCounters)
 		} else if (action.kind === 'exit') this.kill()
-		else this.world.perform(this, born, action)
+		else this.simulation.perform(this, born, action)
 	}
 
-	private tickLater(born: number): void {
-		this.world.queue.after(this.world.random.between(45, 55), () => {
+	private scheduleTick(born: number): void {
+		this.simulation.queue.schedule(this.simulation.random.integerBetween(45, 55), () => {
 			if (born !== this.incarnation || !this.core) return
-			this.take({ kind: 'tick' }, born)
-			this.tickLater(born)
+			this.handle({ kind: 'tick' }, born)
+			this.scheduleTick(born)
 		})
 	}
 
 	/** A bundle version in force never falls. */
-	private checkVersion(): void {
+	private checkBundleVersion(): void {
 		const version = this.core?.blackboard.config.index?.bundle.version ?? 0
-		if (version < this.lastVersion) this.world.fail('bundle-reverted', { box: this.id, version })
-		this.lastVersion = version
+		if (version < this.lastBundleVersion)
+			this.simulation.fail('bundle-reverted', { box: this.id, version })
+		this.lastBundleVersion = version
 	}
 }
--- a/internal/soak/src/lib/World.ts
+++ b/internal/soak/src/lib/Simulation.ts
@@ -15,24 +15,24 @@
 } from '@stallwing/core'
 import { KvStore } from '@stallwing/standins'
 import { Callers, SERVICE_CHARGE } from './Callers.js'
-import { checkEnd } from './checkEnd.js'
+import { checkInvariants } from './checkInvariants.js'
 import { EventQueue } from './EventQueue.js'
 import { FakeTarget } from './FakeTarget.js'
-import { Faults } from './Faults.js'
+import { FaultInjector } from './FaultInjector.js'
 import { Random } from './Random.js'
 import { SimBox } from './SimBox.js'
 
 /** Size and length of a run. */
-export interface WorldOptions {
+export interface SimulationOptions {
 	readonly seed: number
 	readonly zones: number
 	readonly boxesPerZone: number
 	/** New requests while faults are shown. */
 	readonly requests: number
 	/** Virtual time over which requests come, in ms. */
-	readonly spanMs: number
+	readonly durationMs: number
 	readonly protections: Protections
-	readonly faults: boolean
+	readonly injectFaults: boolean
 	/** Prepaid amount of each budget. */
 	readonly prepaid: number
 	readonly policy: Partial<Bundle['policy']>
@@ -43,14 +43,14 @@
 }
 
 /** A few boxes, a minute of trouble. */
-export const DEFAULT_WORLD: WorldOptions = {
+export const DEFAULT_SIMULATION_OPTIONS: SimulationOptions = {
 	seed: 1,
 	zones: 2,
 	boxesPerZone: 3,
 	requests: 300,
-	spanMs: 60_000,
+	durationMs: 60_000,
 	protections: ALL_PROTECTIONS,
-	faults: true,
+	injectFaults: true,
 	prepaid: 20_000,
 	policy: {},
 	timing: {},
@@ -58,23 +58,23 @@
 }
 
 /** A promise that did not hold in a run. */
-export class PromiseBroken extends Error {
+export class InvariantViolation extends Error {
 	readonly kind = 'promise-broken'
 	constructor(
-		readonly promise: string,
-		readonly facts: Readonly<Record<string, unknown>>,
+		readonly invariant: string,
+		readonly details: Readonly<Record<string, unknown>>,
 		seed: number,
 	) {
-		super(`seed ${seed}: ${promise} ${JSON.stringify(facts)}`)
+		super(`seed ${seed}: ${invariant} ${JSON.stringify(details)}`)
 	}
 }
 
-const START_MS = 1_700_000_000_000
-const SETTLE_MS = 60_000
+const START_TIME_MS = 1_700_000_000_000
+const SETTLE_DURATION_MS = 60_000
 const MODEL_PRICE = { inputWeight: 1, outputWeight: 2 }
 
 /** Many cores with one virtual clock, a fake platform, targets and callers, and seeded faults. */
-export class World {
+export class Simulation {
 	readonly queue = new EventQueue()
 	readonly random: Random
 	readonly store = new KvStore()
@@ -83,10 +83,10 @@
 	readonly accounts: string[]
 	readonly targets = new Map<TargetName, FakeTarget>()
 	readonly callers: Callers
-	readonly faults: Faults
-	readonly options: WorldOptions
+	readonly faults: FaultInjector
+	readonly options: SimulationOptions
 	/** Bills by request id, as the cores logged them. */
-	readonly billed = new Map<string, number[]>()
+	readonly billsByRequest = new Map<string, number[]>()
 	/** Told of each message between boxes; for measurements. */
 	onSend: (from: SimBox, message: PeerMessage) => void = () => undefined
 	/** Told of the time that a core took for an event; for measurements. */
@@ -95,17 +95,22 @@
 	trace: string[] | undefined
 	bundle: Bundle
 
-	constructor(options: Partial<WorldOptions>) {
-		this.options = { ...DEFAULT_WORLD, ...options }
+	constructor(options: Partial<SimulationOptions>) {
+		this.options = { ...DEFAULT_SIMULATION_OPTIONS, ...options }
 		this.random = new Random(this.options.seed)
-		this.queue.now = START_MS
+		this.queue.now = START_TIME_MS
 		this.accounts = Array.from({ length: this.options.accounts }, (_, i) => `account-${i}`)
 		this.zones = Array.from({ length: this.options.zones }, (_, i) => brandId<ZoneName>(`z${i}`))
 		this.bundle = this.makeBundle(1)
 		for (const target of this.bundle.targets)
 			this.targets.set(
 				target.name,
-				new FakeTarget(target.kind === 'engine', this.queue, this.random, this.options.faults),
+				new FakeTarget(
+					target.kind === 'engine',
+					this.queue,
+					this.random,
+					this.options.injectFaults,
+				),
 			)
 		for (const zone of this.zones)
 			for (let i = 0; i < this.options.boxesPerZone; i++)
@@ -113,51 +118,51 @@
 					new SimBox(this, brandId<BoxName>(`${zone}b${i}`), zone, this.options.protections),
 				)
 		this.callers = new Callers(this)
-		this.faults = new Faults(this)
+		this.faults = new FaultInjector(this)
 	}
 
 	/** Starts all boxes and lets them find each other. */
 	start(): void {
-		this.acceptBundle(1)
+		this.acceptBundleVersion(1)
 		for (const box of this.boxes) box.boot()
-		this.expireLater()
+		this.scheduleExpiry()
 		this.runFor(8_000)
 	}
 
 	/** Runs the whole world; throws where a promise does not hold. */
 	run(): void {
 		this.start()
-		const { requests, spanMs, faults } = this.options
+		const { requests, durationMs: spanMs, injectFaults: faults } = this.options
 		for (let i = 0; i < requests; i++)
-			this.queue.after(this.random.next() * spanMs, () => this.callers.sendNew())
-		if (faults) this.faults.plan(spanMs)
+			this.queue.schedule(this.random.next() * spanMs, () => this.callers.sendNewRequest())
+		if (faults) this.faults.scheduleFaults(spanMs)
 		this.runFor(spanMs)
-		this.faults.heal()
-		this.runFor(SETTLE_MS)
-		checkEnd(this)
+		this.faults.clearFaults()
+		this.runFor(SETTLE_DURATION_MS)
+		checkInvariants(this)
 	}
 
 	/** Runs events for a span of virtual time. */
 	runFor(span: number): void {
 		const until = this.queue.now + span
-		while (this.queue.step(until));
+		while (this.queue.runNext(until));
 		this.queue.now = until
 	}
 
 	/** Breaks the run off: a promise did not hold. */
 	fail(promise: string, facts: Readonly<Record<string, unknown>>): never {
-		throw new PromiseBroken(promise, facts, this.options.seed)
+		throw new InvariantViolation(promise, facts, this.options.seed)
 	}
 
 	/** Runs of a request over all targets. */
-	runsOf(id: RequestId): number {
+	runCountOf(id: RequestId): number {
 		let sum = 0
-		for (const target of this.targets.values()) sum += target.runs.get(id) ?? 0
+		for (const target of this.targets.values()) sum += target.runCounts.get(id) ?? 0
 		return sum
 	}
 
 	/** Puts a new version in force, by one write of the head. */
-	acceptBundle(version: number): void {
+	acceptBundleVersion(version: number): void {
 		this.bundle = this.makeBundle(version)
 		const key = 'bundles/head'
 		this.store.call({ kind: 'get', key }, this.queue.now, (found) => {
@@ -171,10 +176,10 @@
 	perform(box: SimBox, born: number, action: CoreAction): void {
 		switch (action.kind) {
 			case 'platform':
-				this.faults.platformCall(box, born, action)
+				this.faults.callPlatform(box, born, action)
 				return
 			case 'send':
-				this.sendPeer(box, action)
+				this.sendToPeer(box, action)
 				return
 			case 'relay': {
 				const to = this.boxes.find((other) => other.name === action.box)
@@ -188,13 +193,13 @@
 				this.callers.onAttached(action.callId, action.id)
 				// A finished run's answer goes to a late caller at once.
 				if (box.core?.blackboard.requests.runs.get(action.id)?.stage === 'done')
-					this.callers.onAnswer(box, action.id)
+					this.callers.onAnswerComplete(box, action.id)
 				return
 			case 'fail-run':
 				this.callers.onRunFailed(box, action.runId, action.refusal)
 				return
 			case 'release-answer':
-				this.callers.onAnswer(box, action.runId)
+				this.callers.onAnswerComplete(box, action.runId)
 				return
 			case 'start-attempt':
 				this.startAttempt(box, born, action)
@@ -206,7 +211,7 @@
 				this.fetchBundle(box, born)
 				return
 			case 'log':
-				this.note(box, action.event)
+				this.recordLogEvent(box, action.event)
 				return
 			default:
 		}
@@ -214,22 +219,22 @@
 
 	/** Delivers something from box to box, through the faults of the network. */
 	deliver(from: SimBox, to: SimBox, run: () => void): void {
-		for (const delay of this.faults.deliveries(from, to)) this.queue.after(delay, run)
+		for (const delay of this.faults.deliveryDelays(from, to)) this.queue.schedule(delay, run)
 	}
 
 	/** Delivers an answer back over a connection: in order, or not at all. */
-	back(from: SimBox, run: () => void): void {
-		this.queue.after(this.random.between(1, 3), () => {
+	deliverReply(from: SimBox, run: () => void): void {
+		this.queue.schedule(this.random.integerBetween(1, 3), () => {
 			if (from.core) run()
 		})
 	}
 
-	private sendPeer(box: SimBox, action: Extract<CoreAction, { kind: 'send' }>): void {
+	private sendToPeer(box: SimBox, action: Extract<CoreAction, { kind: 'send' }>): void {
 		const to = this.boxes.find((other) => other.name === action.to)
 		if (!to) return
 		const message = structuredClone(action.message)
 		this.onSend(box, message)
-		this.deliver(box, to, () => to.take({ kind: 'peer', from: box.name, message }))
+		this.deliver(box, to, () => to.handle({ kind: 'peer', from: box.name, message }))
 	}
 
 	private startAttempt(
@@ -241,10 +246,10 @@
 		const target = this.targets.get(action.target)
 		target?.start(runId, action.resume, (outcome) => {
 			const end = { kind: 'attempt-ended', runId, attempt, outcome } as const
-			this.queue.after(1, () => box.take(end, born))
+			this.queue.schedule(1, () => box.handle(end, born))
 			// A late, doubled word of the same attempt must change nothing.
-			if (this.options.faults && this.random.chance(0.05))
-				this.queue.after(this.random.between(1, 3000), () => box.take(end, born))
+			if (this.options.injectFaults && this.random.chance(0.05))
+				this.queue.schedule(this.random.integerBetween(1, 3000), () => box.handle(end, born))
 		})
 	}
 
@@ -258,28 +263,31 @@
 		const target = name === undefined ? undefined : this.targets.get(name)
 		target?.cancel(runId, (outcome) => {
 			const end = { kind: 'attempt-ended', runId, attempt, outcome } as const
-			this.queue.after(2, () => box.take(end, born))
+			this.queue.schedule(2, () => box.handle(end, born))
 		})
 	}
 
 	private fetchBundle(box: SimBox, born: number): void {
-		if (this.faults.isCutFromPlatform(box)) return
+		if (this.faults.isPlatformUnreachable(box)) return
 		const bundle = this.bundle
-		this.queue.after(5, () => box.take({ kind: 'bundle', bundle }, born))
+		this.queue.schedule(5, () => box.handle({ kind: 'bundle', bundle }, born))
 	}
 
-	private note(box: SimBox, event: Extract<CoreAction, { kind: 'log' }>['event']): void {
+	private recordLogEvent(box: SimBox, event: Extract<CoreAction, { kind: 'log' }>['event']): void {
 		this.trace?.push(
-			`${this.queue.now - START_MS} ${box.id} ${event.name} ${JSON.stringify(event.fields)}`,
+			`${this.queue.now - START_TIME_MS} ${box.id} ${event.name} ${JSON.stringify(event.fields)}`,
 		)
-		if (event.name === 'slice-in-doubt') this.checkSealed(event.fields)
+		if (event.name === 'slice-in-doubt') this.checkInDoubtAmount(event.fields)
 		if (event.name !== 'request-billed') return
 		const id = String(event.fields.request)
-		this.billed.set(id, [...(this.billed.get(id) ?? []), Number(event.fields.amount)])
+		this.billsByRequest.set(id, [
+			...(this.billsByRequest.get(id) ?? []),
+			Number(event.fields.amount),
+		])
 	}
 
 	/** What a paused box has started must be covered by what its seal leaves in doubt. */
-	private checkSealed(fields: Readonly<Record<string, unknown>>): void {
+	private checkInDoubtAmount(fields: Readonly<Record<string, unknown>>): void {
 		const box = this.boxes.find((row) => `${row.name}#${row.incarnationName()}` === fields.entry)
 		if (!box?.core) return
 		let started = 0
@@ -289,10 +297,10 @@
 			this.fail('started-beyond-watermark', { started, ...fields })
 	}
 
-	private expireLater(): void {
-		this.queue.after(100, () => {
+	private scheduleExpiry(): void {
+		this.queue.schedule(100, () => {
 			this.store.expire(this.queue.now)
-			this.expireLater()
+			this.scheduleExpiry()
 		})
 	}
 
--- a/internal/soak/src/lib/checkEnd.ts
+++ b/internal/soak/src/lib/checkInvariants.ts
@@ -8,18 +8,18 @@
 	type BudgetShardValue,
 	type ZoneLedgerValue,
 } from '@stallwing/core'
-import type { World } from './World.js'
+import type { Simulation } from './Simulation.js'
 
 /** What one budget has paid, billed and in doubt. */
-export interface BudgetSums {
+export interface BudgetTotals {
 	billed: number
 	inDoubt: number
 	prepaid: number
 }
 
 /** Checks the promises once everything has healed and come to rest. */
-export function checkEnd(world: World): void {
-	const sums = collectSums(world)
+export function checkInvariants(world: Simulation): void {
+	const sums = collectBudgetTotals(world)
 	for (const [budget, sum] of sums) {
 		if (sum.billed > sum.prepaid) world.fail('overspent', { budget, ...sum })
 		if (sum.billed + sum.inDoubt > sum.prepaid) world.fail('over-allotted', { budget, ...sum })
@@ -29,16 +29,16 @@
 }
 
 /** Adds up ledgers, shards and the bills that running boxes have not reported yet. */
-export function collectSums(world: World): Map<string, BudgetSums> {
-	const sums = new Map<string, BudgetSums>()
-	const shard = read<BudgetShardValue>(world, shardKey(0))
+export function collectBudgetTotals(world: Simulation): Map<string, BudgetTotals> {
+	const sums = new Map<string, BudgetTotals>()
+	const shard = readStoreValue<BudgetShardValue>(world, shardKey(0))
 	for (const [name, row] of Object.entries(shard?.budgets ?? {})) {
 		if (outstandingInShard(row) > row.prepaid) world.fail('over-allotted', { budget: name })
 		sums.set(name, { billed: 0, inDoubt: 0, prepaid: row.prepaid })
 	}
-	const live = liveBills(world)
+	const live = billedByRunningBoxes(world)
 	for (const zone of world.zones) {
-		const ledger = read<ZoneLedgerValue>(world, zoneKeys.ledger(zone, 0))
+		const ledger = readStoreValue<ZoneLedgerValue>(world, zoneKeys.ledger(zone, 0))
 		for (const [name, row] of Object.entries(ledger?.budgets ?? {})) {
 			const sum = sums.get(name)
 			if (!sum) continue
@@ -51,12 +51,12 @@
 	return sums
 }
 
-function read<T>(world: World, key: string): T | undefined {
+function readStoreValue<T>(world: Simulation, key: string): T | undefined {
 	return world.store.list(key).find((row) => row.key === key)?.value as T | undefined
 }
 
 /** Bills of the boxes that run, which the ledger may not have yet. */
-function liveBills(world: World): Map<string, number> {
+function billedByRunningBoxes(world: Simulation): Map<string, number> {
 	const live = new Map<string, number>()
 	for (const box of world.boxes) {
 		const ledger = box.core?.blackboard.slices.ledger
@@ -69,23 +69,23 @@
 }
 
 /** A request that may not be repeated ran at most once. */
-function checkRuns(world: World): void {
+function checkRuns(world: Simulation): void {
 	for (const target of world.targets.values())
-		for (const id of target.runs.keys()) {
-			const runs = world.runsOf(id)
-			if (runs > 1 && world.callers.neverRepeat.has(id)) world.fail('ran-twice', { id, runs })
+		for (const id of target.runCounts.keys()) {
+			const runs = world.runCountOf(id)
+			if (runs > 1 && world.callers.nonRepeatableIds.has(id)) world.fail('ran-twice', { id, runs })
 		}
 }
 
 /** Every answered request is billed once: neither lost nor doubled, within what is in doubt. */
-function checkBills(world: World, sums: ReadonlyMap<string, BudgetSums>): void {
+function checkBills(world: Simulation, sums: ReadonlyMap<string, BudgetTotals>): void {
 	const least = new Map<string, number>()
 	const most = new Map<string, number>()
-	for (const [id, budget] of world.callers.budgetOf) {
+	for (const [id, budget] of world.callers.budgetByRequest) {
 		const charge = world.callers.chargeOf(id)
-		if (world.callers.answered.has(id)) add(least, budget, charge)
-		const bills = world.billed.get(id)
-		if (bills) add(most, budget, Math.max(charge, ...bills))
+		if (world.callers.answeredIds.has(id)) addTo(least, budget, charge)
+		const bills = world.billsByRequest.get(id)
+		if (bills) addTo(most, budget, Math.max(charge, ...bills))
 	}
 	for (const [budget, sum] of sums) {
 		const low = least.get(budget) ?? 0
@@ -96,6 +96,6 @@
 	}
 }
 
-function add(map: Map<string, number>, key: string, amount: number): void {
+function addTo(map: Map<string, number>, key: string, amount: number): void {
 	map.set(key, (map.get(key) ?? 0) + amount)
 }
--- a/internal/soak/src/lib/safetyProtections.ts
+++ b/internal/soak/src/lib/safetyProtections.ts
@@ -1,5 +1,5 @@
 import { ALL_PROTECTIONS, type Protections } from '@stallwing/core'
-import type { WorldOptions } from './World.js'
+import type { SimulationOptions } from './Simulation.js'
 
 /**
  * Protections whose absence must be noticed. Transfers and recall are not among them: they serve
@@ -16,13 +16,13 @@
 ]
 
 /** Counters reach the ledger sooner, so that a bill may get there before the witness has it. */
-const QUICK_COUNTERS_MS = 1_000
+const FAST_COUNTERS_PERIOD_MS = 1_000
 
 /** A world without one protection, of a shape in which its fault comes up often. */
-export function worldWithout(name: keyof Protections): Partial<WorldOptions> {
+export function optionsWithout(name: keyof Protections): Partial<SimulationOptions> {
 	const protections = { ...ALL_PROTECTIONS, [name]: false }
 	if (name === 'witnessedBills')
-		return { protections, timing: { countersPeriodMs: QUICK_COUNTERS_MS } }
+		return { protections, timing: { countersPeriodMs: FAST_COUNTERS_PERIOD_MS } }
 	// A box without a witness takes all records with it.
 	if (name === 'forgotten') return { protections, boxesPerZone: 1 }
 	return { protections }
--- a/internal/soak/src/main.ts
+++ b/internal/soak/src/main.ts
@@ -1,6 +1,6 @@
 /** Long randomised runs: `npm run soak -- --seed N --runs N [--steps N] [--trace]`. */
 import { parseArgs } from 'node:util'
-import { World, type WorldOptions } from './lib/World.js'
+import { Simulation, type SimulationOptions } from './lib/Simulation.js'
 
 const { values } = parseArgs({
 	options: {
@@ -20,7 +20,7 @@
 const failures: string[] = []
 
 for (let seed = first; seed < first + runs; seed++) {
-	const world = new World(options(seed))
+	const world = new Simulation(options(seed))
 	if (values.trace) world.trace = []
 	try {
 		world.run()
@@ -41,7 +41,7 @@
 )
 process.exitCode = failures.length > 0 ? 1 : 0
 
-function options(seed: number): Partial<WorldOptions> {
+function options(seed: number): Partial<SimulationOptions> {
 	return {
 		seed,
 		requests: Number(values.steps),
--- a/internal/soak/src/mutations.ts
+++ b/internal/soak/src/mutations.ts
@@ -3,14 +3,14 @@
  * `npm run mutations -- [--most N]`. Exits with 1 where one goes unnoticed.
  */
 import { parseArgs } from 'node:util'
-import { SAFETY_PROTECTIONS, worldWithout } from './lib/safetyProtections.js'
-import { World, type WorldOptions } from './lib/World.js'
+import { SAFETY_PROTECTIONS, optionsWithout } from './lib/safetyProtections.js'
+import { Simulation, type SimulationOptions } from './lib/Simulation.js'
 
 const { values } = parseArgs({ options: { most: { type: 'string', default: '400' } } })
 
 let unnoticed = 0
 for (const name of SAFETY_PROTECTIONS) {
-	const found = firstFailure(worldWithout(name))
+	const found = firstFailure(optionsWithout(name))
 	if (!found) unnoticed++
 	process.stdout.write(`without ${name}: ${found ?? `not noticed in ${values.most} seeds`}\n`)
 }
@@ -19,10 +19,10 @@
 )
 process.exitCode = unnoticed > 0 ? 1 : 0
 
-function firstFailure(options: Partial<WorldOptions>): string | undefined {
+function firstFailure(options: Partial<SimulationOptions>): string | undefined {
 	for (let seed = 1; seed <= Number(values.most); seed++) {
 		try {
-			new World({ seed, ...options }).run()
+			new Simulation({ seed, ...options }).run()
 		} catch (error) {
 			return error instanceof Error ? error.message : String(error)
 		}
--- a/packages/router/src/lib/AsyncQueue.ts
+++ b/packages/router/src/lib/AsyncQueue.ts
@@ -1,8 +1,8 @@
 /** Hands values from callbacks to one `for await` loop, in order. */
 export class AsyncQueue<T> implements AsyncIterable<T> {
 	private readonly values: T[] = []
-	private wake: (() => void) | undefined
-	private ended = false
+	private resolveWaiting: (() => void) | undefined
+	private isEnded = false
 	private failure: Error | undefined
 
 	get size(): number {
@@ -10,14 +10,14 @@
 	}
 
 	push(value: T): void {
-		if (this.ended) return
+		if (this.isEnded) return
 		this.values.push(value)
-		this.signal()
+		this.wakeConsumer()
 	}
 
 	end(): void {
-		this.ended = true
-		this.signal()
+		this.isEnded = true
+		this.wakeConsumer()
 	}
 
 	/** Ends the loop with an error, after the values before it. */
@@ -30,14 +30,14 @@
 		for (;;) {
 			const value = this.values.shift()
 			if (value !== undefined) yield value
-			else if (this.ended) break
-			else await new Promise<void>((resolve) => (this.wake = resolve))
+			else if (this.isEnded) break
+			else await new Promise<void>((resolve) => (this.resolveWaiting = resolve))
 		}
 		if (this.failure) throw this.failure
 	}
 
-	private signal(): void {
-		this.wake?.()
-		this.wake = undefined
+	private wakeConsumer(): void {
+		this.resolveWaiting?.()
+		this.resolveWaiting = undefined
 	}
 }
--- a/packages/router/src/lib/AttemptRunner.ts
+++ b/packages/router/src/lib/AttemptRunner.ts
@@ -1,7 +1,7 @@
 import type { AttemptOutcome, CoreAction, RequestId } from '@stallwing/core'
 import { Agent, request, type Dispatcher } from 'undici'
 import type { OutgoingCall } from './OutgoingCall.js'
-import type { RunAnswer } from './RunAnswer.js'
+import type { RunResponse } from './RunResponse.js'
 import { SseReader } from './SseReader.js'
 
 /** Limits of an attempt. */
@@ -15,21 +15,26 @@
 
 const CONNECT_TIMEOUT_MS = 1_000
 const CANCEL_TIMEOUT_MS = 2_000
-const NOT_SENT = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'])
-const NOT_TAKEN = new Set([429, 503])
-const PASSED_HEADERS = ['content-type', 'location', 'etag', 'cache-control']
+const NOT_SENT_ERROR_CODES = new Set([
+	'ECONNREFUSED',
+	'UND_ERR_CONNECT_TIMEOUT',
+	'EHOSTUNREACH',
+	'ENETUNREACH',
+])
+const REJECTION_STATUSES = new Set([429, 503])
+const FORWARDED_HEADERS = ['content-type', 'location', 'etag', 'cache-control']
 
-interface Live {
+interface ActiveAttempt {
 	readonly attempt: number
-	readonly abort: AbortController
+	readonly abortController: AbortController
 	readonly url: string
-	readonly isModel: boolean
-	cancelled: boolean
+	readonly isModelRequest: boolean
+	isCancelled: boolean
 }
 
 /** Sends attempts to targets and reads their answers; says how each ended. */
 export class AttemptRunner {
-	private readonly live = new Map<RequestId, Live>()
+	private readonly activeAttempts = new Map<RequestId, ActiveAttempt>()
 	private readonly agent = new Agent({
 		connect: { timeout: CONNECT_TIMEOUT_MS },
 		connections: 256,
@@ -41,73 +46,73 @@
 		private readonly onEnded: (id: RequestId, attempt: number, outcome: AttemptOutcome) => void,
 	) {}
 
-	start(action: StartAction, call: OutgoingCall, answer: RunAnswer): void {
-		const live: Live = {
+	start(action: StartAction, call: OutgoingCall, answer: RunResponse): void {
+		const live: ActiveAttempt = {
 			attempt: action.attempt,
-			abort: new AbortController(),
+			abortController: new AbortController(),
 			url: action.url,
-			isModel: call.chat !== undefined,
-			cancelled: false,
+			isModelRequest: call.chat !== undefined,
+			isCancelled: false,
 		}
-		this.live.set(action.runId, live)
-		void this.run(action, call, answer, live)
-			.catch((error: unknown) => failureOf(error))
+		this.activeAttempts.set(action.runId, live)
+		void this.execute(action, call, answer, live)
+			.catch((error: unknown) => outcomeOfError(error))
 			.then((outcome) => this.finish(action, live, answer, outcome))
 	}
 
 	/** Cancels an attempt: the target is told, and says what ran. */
 	cancel(id: RequestId, attempt: number): void {
-		const live = this.live.get(id)
+		const live = this.activeAttempts.get(id)
 		if (!live || live.attempt !== attempt) return
-		live.cancelled = true
+		live.isCancelled = true
 		void this.cancelAtTarget(id, live).then((outputTokens) => {
-			live.abort.abort()
-			this.live.delete(id)
+			live.abortController.abort()
+			this.activeAttempts.delete(id)
 			this.onEnded(id, attempt, { kind: 'cancelled', outputTokens })
 		})
 	}
 
 	async close(): Promise<void> {
-		for (const live of this.live.values()) live.abort.abort()
+		for (const live of this.activeAttempts.values()) live.abortController.abort()
 		await this.agent.destroy()
 	}
 
 	private finish(
 		action: StartAction,
-		live: Live,
-		answer: RunAnswer,
+		live: ActiveAttempt,
+		answer: RunResponse,
 		outcome: AttemptOutcome,
 	): void {
-		if (live.cancelled) return
-		if (this.live.get(action.runId) === live) this.live.delete(action.runId)
+		if (live.isCancelled) return
+		if (this.activeAttempts.get(action.runId) === live) this.activeAttempts.delete(action.runId)
 		const isBroken = outcome.kind === 'broken'
-		if (isBroken && live.isModel) void this.cancelAtTarget(action.runId, live)
+		if (isBroken && live.isModelRequest) void this.cancelAtTarget(action.runId, live)
 		const final = isBroken ? { ...outcome, delivered: answer.isDelivered() } : outcome
 		if (final.kind !== 'whole' && !answer.isDelivered()) answer.reset()
 		this.onEnded(action.runId, action.attempt, final)
 	}
 
-	private async run(
+	private async execute(
 		action: StartAction,
 		call: OutgoingCall,
-		answer: RunAnswer,
-		live: Live,
+		answer: RunResponse,
+		live: ActiveAttempt,
 	): Promise<AttemptOutcome> {
 		const reply = await this.send(action, call, live)
-		if (NOT_TAKEN.has(reply.statusCode) || (action.resume && reply.statusCode >= 400)) {
+		if (REJECTION_STATUSES.has(reply.statusCode) || (action.resume && reply.statusCode >= 400)) {
 			await reply.body.dump()
-			return rejected(reply)
+			return rejectedOutcome(reply)
 		}
 		const stream = call.chat?.stream === true && reply.statusCode === 200
 		return stream
 			? this.readStream(reply, answer, action)
-			: this.readWhole(reply, answer, action, call)
+			: this.readBuffered(reply, answer, action, call)
 	}
 
 	private send(
 		action: StartAction,
 		call: OutgoingCall,
-		live: Live,
+		live: ActiveAttempt,
 	): Promise<Dispatcher.ResponseData> {
 		const path = action.resume ? resumePath(action.runId, call) : call.path
 		const method = action.resume ? 'GET' : call.method
@@ -118,7 +123,7 @@
 		return request(`${action.url}${path}`, {
 			method: method as Dispatcher.HttpMethod,
 			dispatcher: this.agent,
-			signal: live.abort.signal,
+			signal: live.abortController.signal,
 			headersTimeout: this.limits.firstByteMs + this.limits.idleMs,
 			bodyTimeout: this.limits.idleMs,
 			headers: {
@@ -133,7 +138,7 @@
 	/** Passes a stream on as it comes; its last events are held. */
 	private async readStream(
 		reply: Dispatcher.ResponseData,
-		answer: RunAnswer,
+		answer: RunResponse,
 		action: StartAction,
 	): Promise<AttemptOutcome> {
 		const reader = new SseReader()
@@ -141,23 +146,25 @@
 		let begun = false
 		for await (const chunk of reply.body) {
 			bytes += (chunk as Buffer).length
-			if (bytes > this.limits.answerBytes) return broken('the answer is too long', reader.events)
-			const { ready, last } = reader.push(chunk as Buffer)
+			if (bytes > this.limits.answerBytes)
+				return brokenOutcome('the answer is too long', reader.contentEventCount)
+			const { ready, withheld: last } = reader.push(chunk as Buffer)
 			if (!begun && ready.length + last.length > 0) {
 				begun = true
-				answer.head({ status: 200, headers: this.headers(reply, action) })
+				answer.sendHead({ status: 200, headers: this.responseHeaders(reply, action) })
 			}
-			for (const event of ready) answer.data(event)
-			answer.hold(last)
+			for (const event of ready) answer.sendData(event)
+			answer.withhold(last)
 		}
-		if (!reader.done || !reader.usage) return broken('the stream broke off', reader.events)
+		if (!reader.isDone || !reader.usage)
+			return brokenOutcome('the stream broke off', reader.contentEventCount)
 		const { input, output } = reader.usage
 		return { kind: 'whole', inputTokens: input, outputTokens: output }
 	}
 
-	private async readWhole(
+	private async readBuffered(
 		reply: Dispatcher.ResponseData,
-		answer: RunAnswer,
+		answer: RunResponse,
 		action: StartAction,
 		call: OutgoingCall,
 	): Promise<AttemptOutcome> {
@@ -165,31 +172,37 @@
 		let bytes = 0
 		for await (const chunk of reply.body) {
 			bytes += (chunk as Buffer).length
-			if (bytes > this.limits.answerBytes) return broken('the answer is too long', 0)
+			if (bytes > this.limits.answerBytes) return brokenOutcome('the answer is too long', 0)
 			chunks.push(chunk as Buffer)
 		}
 		const usage =
 			call.chat && reply.statusCode === 200 ? readUsage(chunks) : { input: 0, output: 0 }
-		if (!usage) return broken('the answer makes no sense', 0)
-		answer.hold(chunks, { status: reply.statusCode, headers: this.headers(reply, action) })
+		if (!usage) return brokenOutcome('the answer makes no sense', 0)
+		answer.withhold(chunks, {
+			status: reply.statusCode,
+			headers: this.responseHeaders(reply, action),
+		})
 		return { kind: 'whole', inputTokens: usage.input, outputTokens: usage.output }
 	}
 
-	private headers(reply: Dispatcher.ResponseData, action: StartAction): Record<string, string> {
+	private responseHeaders(
+		reply: Dispatcher.ResponseData,
+		action: StartAction,
+	): Record<string, string> {
 		const headers: Record<string, string> = {
 			'stallwing-run': 'yes',
 			'stallwing-request-id': action.runId,
 			'idempotency-key': action.runId.slice(action.runId.indexOf('/') + 1),
 		}
-		for (const name of PASSED_HEADERS) {
+		for (const name of FORWARDED_HEADERS) {
 			const value = reply.headers[name]
 			if (typeof value === 'string') headers[name] = value
 		}
 		return headers
 	}
 
-	private async cancelAtTarget(id: RequestId, live: Live): Promise<number> {
-		if (!live.isModel) return 0
+	private async cancelAtTarget(id: RequestId, live: ActiveAttempt): Promise<number> {
+		if (!live.isModelRequest) return 0
 		try {
 			const reply = await request(`${live.url}/v1/runs/${encodeURIComponent(id)}/cancel`, {
 				method: 'POST',
@@ -224,7 +237,7 @@
 	}
 }
 
-function rejected(reply: Dispatcher.ResponseData): AttemptOutcome {
+function rejectedOutcome(reply: Dispatcher.ResponseData): AttemptOutcome {
 	const seconds = Number(reply.headers['retry-after'])
 	const status = reply.statusCode
 	return Number.isFinite(seconds) && seconds > 0
@@ -232,12 +245,12 @@
 		: { kind: 'rejected', status }
 }
 
-function broken(reason: string, outputTokens: number): AttemptOutcome {
+function brokenOutcome(reason: string, outputTokens: number): AttemptOutcome {
 	return { kind: 'broken', reason, outputTokens, delivered: false }
 }
 
-function failureOf(error: unknown): AttemptOutcome {
+function outcomeOfError(error: unknown): AttemptOutcome {
 	const code = (error as { code?: string }).code ?? 'unknown'
-	if (NOT_SENT.has(code)) return { kind: 'not-sent', reason: code }
-	return broken(`connection to the target: ${code}`, 0)
+	if (NOT_SENT_ERROR_CODES.has(code)) return { kind: 'not-sent', reason: code }
+	return brokenOutcome(`connection to the target: ${code}`, 0)
 }
--- a/packages/router/src/lib/BundleFetcher.ts
+++ b/packages/router/src/lib/BundleFetcher.ts
@@ -18,11 +18,11 @@
 /** Gets accepted bundles from the platform or from another box, and checks them. */
 export class BundleFetcher {
 	private readonly store: BundleStore
-	private held: { version: number; document: BundleDocument } | undefined
+	private latest: { version: number; document: BundleDocument } | undefined
 
 	constructor(
 		platform: PlatformClient,
-		private readonly links: PeerLinks,
+		private readonly peerLinks: PeerLinks,
 		private readonly operators: readonly OperatorKey[],
 	) {
 		this.store = new BundleStore(platform)
@@ -30,21 +30,21 @@
 
 	/** The document of the version held, as JSON; empty for any other version. */
 	document(version: number): string {
-		return this.held?.version === version ? JSON.stringify(this.held.document) : ''
+		return this.latest?.version === version ? JSON.stringify(this.latest.document) : ''
 	}
 
 	/** Fetches a version or a later one. */
 	async fetch(version: number, peers: readonly string[]): Promise<FetchResult> {
-		const document = (await this.fromPlatform()) ?? (await this.fromPeers(version, peers))
+		const document = (await this.fetchFromPlatform()) ?? (await this.fetchFromPeers(version, peers))
 		if (!document) return { kind: 'unavailable' }
 		const checked = checkAccepted(document, this.operators)
 		if (E.isLeft(checked))
 			return { kind: 'refused', faults: checked.left.map((fault) => JSON.stringify(fault)) }
-		this.held = { version: checked.right.version, document }
+		this.latest = { version: checked.right.version, document }
 		return { kind: 'taken', bundle: checked.right }
 	}
 
-	private async fromPlatform(): Promise<BundleDocument | undefined> {
+	private async fetchFromPlatform(): Promise<BundleDocument | undefined> {
 		try {
 			return await this.store.accepted()
 		} catch {
@@ -52,13 +52,13 @@
 		}
 	}
 
-	private async fromPeers(
+	private async fetchFromPeers(
 		version: number,
 		peers: readonly string[],
 	): Promise<BundleDocument | undefined> {
 		for (const peer of peers) {
 			try {
-				const { document } = await this.links.client(peer).getBundle({ version })
+				const { document } = await this.peerLinks.client(peer).getBundle({ version })
 				if (document !== '') return JSON.parse(document) as BundleDocument
 			} catch {
 				continue
--- a/packages/router/src/lib/CallerServer.ts
+++ b/packages/router/src/lib/CallerServer.ts
@@ -9,9 +9,9 @@
 
 /** What the caller side needs of the daemon. */
 export interface CallerHandlers {
-	open(call: OpenCall): void
+	onCall(call: OpenCall): void
 	/** The connection has closed; `answered` where the whole answer went out. */
-	closed(callId: CallId, answered: boolean): void
+	onClosed(callId: CallId, answered: boolean): void
 	isReady(): boolean
 	metrics(): string
 }
@@ -23,13 +23,13 @@
 	readonly firstByteMs: number
 }
 
-const BODY_TIMEOUT_MS = 10_000
+const REQUEST_TIMEOUT_MS = 10_000
 
 /** Serves callers over HTTP, and the probes of the balancer. */
 export class CallerServer {
 	private readonly server: Server
-	private nextCall = 1
-	private readonly open = new Set<ServerResponse>()
+	private nextCallNumber = 1
+	private readonly openResponses = new Set<ServerResponse>()
 
 	constructor(
 		private readonly handlers: CallerHandlers,
@@ -39,7 +39,7 @@
 		this.server = createServer((request, response) => {
 			this.handle(request, response).catch(() => response.destroy())
 		})
-		this.server.requestTimeout = BODY_TIMEOUT_MS
+		this.server.requestTimeout = REQUEST_TIMEOUT_MS
 		this.server.keepAliveTimeout = 30_000
 	}
 
@@ -52,8 +52,8 @@
 	}
 
 	/** Requests that have not been answered yet. */
-	openCalls(): number {
-		return this.open.size
+	openCallCount(): number {
+		return this.openResponses.size
 	}
 
 	async close(): Promise<void> {
@@ -65,15 +65,15 @@
 
 	private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const path = request.url ?? '/'
-		if (path === '/healthz') send(response, 200, 'ok\n')
-		else if (path === '/readyz') send(response, this.handlers.isReady() ? 200 : 503, '')
-		else if (path === '/metrics') send(response, 200, this.handlers.metrics())
-		else await this.call(request, response)
+		if (path === '/healthz') sendText(response, 200, 'ok\n')
+		else if (path === '/readyz') sendText(response, this.handlers.isReady() ? 200 : 503, '')
+		else if (path === '/metrics') sendText(response, 200, this.handlers.metrics())
+		else await this.handleCall(request, response)
 	}
 
-	private async call(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async handleCall(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const startedAt = Date.now()
-		const callId = brandId<CallId>(`call-${this.nextCall++}`)
+		const callId = brandId<CallId>(`call-${this.nextCallNumber++}`)
 		const sink = new HttpSink(
 			response,
 			() => this.metrics.recordDuration('stallwing_first_byte_ms', Date.now() - startedAt),
@@ -84,19 +84,19 @@
 			this.refuse(sink, notRun('body-too-large', `at most ${this.limits.bodyBytes} bytes`))
 			return
 		}
-		const raw = rawCall(callId, request, body, startedAt + this.limits.firstByteMs)
+		const raw = toRawCall(callId, request, body, startedAt + this.limits.firstByteMs)
 		const read = readCall(raw)
 		if (E.isLeft(read)) {
 			this.refuse(sink, read.left)
 			return
 		}
-		this.open.add(response)
+		this.openResponses.add(response)
 		response.on('close', () => {
-			this.open.delete(response)
-			this.handlers.closed(callId, response.writableFinished)
+			this.openResponses.delete(response)
+			this.handlers.onClosed(callId, response.writableFinished)
 		})
 		const { request: core, outgoing } = read.right
-		this.handlers.open({ request: core, outgoing, sink, callerPath: raw.path, startedAt })
+		this.handlers.onCall({ request: core, outgoing, sink, callerPath: raw.path, startedAt })
 	}
 
 	private refuse(sink: HttpSink, refusal: Refusal): void {
@@ -116,7 +116,7 @@
 	}
 }
 
-function rawCall(
+function toRawCall(
 	callId: CallId,
 	request: IncomingMessage,
 	body: Buffer,
@@ -147,7 +147,7 @@
 	}
 }
 
-function send(response: ServerResponse, status: number, text: string): void {
+function sendText(response: ServerResponse, status: number, text: string): void {
 	response.writeHead(status, { 'content-type': 'text/plain; version=0.0.4' })
 	response.end(text)
 }
--- a/packages/router/src/lib/HttpSink.ts
+++ b/packages/router/src/lib/HttpSink.ts
@@ -1,29 +1,29 @@
 import type { ServerResponse } from 'node:http'
 import type { Refusal, RequestId } from '@stallwing/core'
-import { refusalAnswer, type AnswerHead, type AnswerSink } from './AnswerSink.js'
+import { refusalResponse, type ResponseHead, type ResponseSink } from './ResponseSink.js'
 
 /** Bytes that may wait for a caller that reads slowly; beyond, its connection is cut. */
-const MOST_BUFFERED_BYTES = 16_777_216
+const MAX_BUFFERED_BYTES = 16_777_216
 
 /** Gives an answer to a caller's HTTP connection. */
-export class HttpSink implements AnswerSink {
+export class HttpSink implements ResponseSink {
 	constructor(
 		private readonly response: ServerResponse,
 		private readonly onFirstByte: () => void,
 		private readonly onDone: () => void,
 	) {}
 
-	head(head: AnswerHead): void {
+	writeHead(head: ResponseHead): void {
 		if (this.response.headersSent || this.response.destroyed) return
 		this.response.writeHead(head.status, head.headers)
 		this.response.flushHeaders()
 		this.onFirstByte()
 	}
 
-	data(chunk: Uint8Array): void {
+	write(chunk: Uint8Array): void {
 		if (this.response.destroyed) return
 		this.response.write(chunk)
-		if (this.response.writableLength > MOST_BUFFERED_BYTES) this.response.destroy()
+		if (this.response.writableLength > MAX_BUFFERED_BYTES) this.response.destroy()
 	}
 
 	end(): void {
@@ -36,7 +36,7 @@
 			// A broken answer must not look whole: the connection is reset.
 			this.response.destroy()
 		} else if (!this.response.destroyed) {
-			const { head, body } = refusalAnswer(refusal, id)
+			const { head, body } = refusalResponse(refusal, id)
 			this.response.writeHead(head.status, head.headers)
 			this.response.end(body)
 		}
--- a/packages/router/src/lib/LoadPoller.ts
+++ b/packages/router/src/lib/LoadPoller.ts
@@ -1,21 +1,21 @@
 import type { LoadReport, TargetName, TargetRecord } from '@stallwing/core'
 import { Agent, request } from 'undici'
 
-const TIMEOUT_MS = 500
+const LOAD_TIMEOUT_MS = 500
 
 /** Asks targets for their load. Only the keeper of a zone does; it shares what it hears. */
 export class LoadPoller {
 	private readonly agent = new Agent({ connections: 1 })
-	private busy = false
+	private isPolling = false
 
 	constructor(private readonly onReports: (reports: LoadReport[]) => void) {}
 
 	/** Asks every target once; a round that is still going on is not doubled. */
 	async poll(targets: readonly TargetRecord[]): Promise<void> {
-		if (this.busy) return
-		this.busy = true
-		const reports = await Promise.all(targets.map((target) => this.ask(target)))
-		this.busy = false
+		if (this.isPolling) return
+		this.isPolling = true
+		const reports = await Promise.all(targets.map((target) => this.fetchLoad(target)))
+		this.isPolling = false
 		const found = reports.filter((report) => report !== undefined)
 		if (found.length > 0) this.onReports(found)
 	}
@@ -24,9 +24,9 @@
 		await this.agent.destroy()
 	}
 
-	private async ask(target: TargetRecord): Promise<LoadReport | undefined> {
+	private async fetchLoad(target: TargetRecord): Promise<LoadReport | undefined> {
 		try {
-			const signal = AbortSignal.timeout(TIMEOUT_MS)
+			const signal = AbortSignal.timeout(LOAD_TIMEOUT_MS)
 			const reply = await request(`${target.url}/load`, { dispatcher: this.agent, signal })
 			return readReport(target.name, await reply.body.json())
 		} catch {
--- a/packages/router/src/lib/LogWriter.ts
+++ b/packages/router/src/lib/LogWriter.ts
@@ -8,12 +8,12 @@
 }
 
 /** Lines kept in memory for `stallwing explain`. */
-const KEPT_LINES = 5_000
+const MAX_RECENT_LINES = 5_000
 
 /** Writes one JSON line per numbered event, and keeps the last ones for explanations. @public */
 export class LogWriter {
-	private readonly kept: LogLine[] = []
-	private next = 0
+	private readonly recentLines: LogLine[] = []
+	private nextIndex = 0
 
 	constructor(
 		private readonly box: string,
@@ -30,14 +30,17 @@
 			zone: this.zone,
 			...event.fields,
 		}
-		this.kept[this.next] = line
-		this.next = (this.next + 1) % KEPT_LINES
+		this.recentLines[this.nextIndex] = line
+		this.nextIndex = (this.nextIndex + 1) % MAX_RECENT_LINES
 		this.write(`${JSON.stringify(line)}\n`)
 	}
 
 	/** Lines about a request, oldest first. */
-	about(request: string): LogLine[] {
-		const ordered = [...this.kept.slice(this.next), ...this.kept.slice(0, this.next)]
+	linesOfRequest(request: string): LogLine[] {
+		const ordered = [
+			...this.recentLines.slice(this.nextIndex),
+			...this.recentLines.slice(0, this.nextIndex),
+		]
 		return ordered.filter((line) => line.request === request)
 	}
 }
--- a/packages/router/src/lib/PeerLinks.ts
+++ b/packages/router/src/lib/PeerLinks.ts
@@ -5,13 +5,13 @@
 import createDebug from 'debug'
 import { AsyncQueue } from './AsyncQueue.js'
 import type { Metrics } from '@stallwing/telemetry'
-import { openPeer, type PeerTls } from './peerTransport.js'
+import { createPeerClient, type PeerTls } from './peerTransport.js'
 
 const debug = createDebug('stallwing:peer')
 
 /** Messages that may wait for a box that does not answer; older ones are dropped. */
-const MOST_WAITING = 2_000
-const IDLE_CLOSE_MS = 30_000
+const MAX_QUEUED_FRAMES = 2_000
+const IDLE_TIMEOUT_MS = 30_000
 /** Frames a second of a box whose settings state none; `docs/CAPACITY.md` has the cost of one. */
 const DEFAULT_FRAMES_PER_SECOND = 400
 /** Unused frames are kept for so long. */
@@ -21,8 +21,8 @@
 	readonly client: Client<typeof PeerService>
 	readonly address: string
 	queue: AsyncQueue<Frame> | undefined
-	gathered: Uint8Array[]
-	usedAt: number
+	pendingMessages: Uint8Array[]
+	lastUsedAt: number
 }
 
 /**
@@ -32,10 +32,10 @@
  */
 export class PeerLinks {
 	private readonly links = new Map<string, Link>()
-	private flushing = false
-	private timer: NodeJS.Timeout | undefined
-	private tokens: number
-	private filledAt = 0
+	private isFlushScheduled = false
+	private flushTimer: NodeJS.Timeout | undefined
+	private frameTokens: number
+	private refilledAt = 0
 
 	constructor(
 		private readonly box: BoxName,
@@ -44,93 +44,93 @@
 		/** Frames a second that may go out at once; above, messages are gathered. */
 		private readonly framesPerSecond = DEFAULT_FRAMES_PER_SECOND,
 	) {
-		this.tokens = framesPerSecond * BURST_SECONDS
+		this.frameTokens = framesPerSecond * BURST_SECONDS
 	}
 
 	send(address: string, message: PeerMessage): void {
 		if (address === '') return
-		const link = this.link(address)
+		const link = this.getLink(address)
 		const bytes = encodeMessage(message)
 		const labels = `kind="${message.kind}"`
 		this.metrics.count('stallwing_peer_messages_sent_total', labels)
 		this.metrics.count('stallwing_peer_bytes_sent_total', labels, bytes.length)
-		link.gathered.push(bytes)
-		link.usedAt = Date.now()
-		if (this.flushing) return
-		this.flushing = true
+		link.pendingMessages.push(bytes)
+		link.lastUsedAt = Date.now()
+		if (this.isFlushScheduled) return
+		this.isFlushScheduled = true
 		setImmediate(() => this.flush())
 	}
 
 	/** The client of a box, for relaying. */
 	client(address: string): Client<typeof PeerService> {
-		return this.link(address).client
+		return this.getLink(address).client
 	}
 
 	/** Closes streams that were not used for a while. */
 	closeIdle(): void {
-		const oldest = Date.now() - IDLE_CLOSE_MS
+		const oldest = Date.now() - IDLE_TIMEOUT_MS
 		for (const [address, link] of this.links) {
-			if (link.usedAt >= oldest) continue
+			if (link.lastUsedAt >= oldest) continue
 			link.queue?.end()
 			this.links.delete(address)
 		}
 	}
 
 	close(): void {
-		if (this.timer) clearTimeout(this.timer)
+		if (this.flushTimer) clearTimeout(this.flushTimer)
 		for (const link of this.links.values()) link.queue?.end()
 		this.links.clear()
 	}
 
-	private link(address: string): Link {
+	private getLink(address: string): Link {
 		let link = this.links.get(address)
 		if (!link) {
-			const client = openPeer(address, this.tls)
-			link = { client, address, queue: undefined, gathered: [], usedAt: Date.now() }
+			const client = createPeerClient(address, this.tls)
+			link = { client, address, queue: undefined, pendingMessages: [], lastUsedAt: Date.now() }
 			this.links.set(address, link)
 		}
 		return link
 	}
 
 	private flush(): void {
-		this.flushing = false
+		this.isFlushScheduled = false
 		this.refill()
 		for (const link of this.links.values()) {
-			if (link.gathered.length === 0) continue
-			if (this.tokens < 1) {
-				this.flushLater()
+			if (link.pendingMessages.length === 0) continue
+			if (this.frameTokens < 1) {
+				this.scheduleFlush()
 				return
 			}
-			this.tokens--
+			this.frameTokens--
 			this.metrics.count('stallwing_peer_frames_sent_total')
-			const queue = link.queue ?? this.open(link)
-			if (queue.size < MOST_WAITING)
-				queue.push(create(FrameSchema, { from: this.box, messages: link.gathered }))
-			link.gathered = []
+			const queue = link.queue ?? this.openStream(link)
+			if (queue.size < MAX_QUEUED_FRAMES)
+				queue.push(create(FrameSchema, { from: this.box, messages: link.pendingMessages }))
+			link.pendingMessages = []
 		}
 	}
 
 	private refill(): void {
 		const now = performance.now()
-		const fresh = ((now - this.filledAt) * this.framesPerSecond) / 1_000
-		this.filledAt = now
-		this.tokens = Math.min(this.framesPerSecond * BURST_SECONDS, this.tokens + fresh)
+		const fresh = ((now - this.refilledAt) * this.framesPerSecond) / 1_000
+		this.refilledAt = now
+		this.frameTokens = Math.min(this.framesPerSecond * BURST_SECONDS, this.frameTokens + fresh)
 	}
 
 	/** A frame costs far more processor time than a message in it, so frames are rationed. */
-	private flushLater(): void {
-		this.timer = setTimeout(() => this.flush(), 1_000 / this.framesPerSecond)
-		this.flushing = true
+	private scheduleFlush(): void {
+		this.flushTimer = setTimeout(() => this.flush(), 1_000 / this.framesPerSecond)
+		this.isFlushScheduled = true
 	}
 
-	private open(link: Link): AsyncQueue<Frame> {
+	private openStream(link: Link): AsyncQueue<Frame> {
 		const queue = new AsyncQueue<Frame>()
 		link.queue = queue
-		void this.run(link, queue)
+		void this.runStream(link, queue)
 		return queue
 	}
 
-	private async run(link: Link, queue: AsyncQueue<Frame>): Promise<void> {
+	private async runStream(link: Link, queue: AsyncQueue<Frame>): Promise<void> {
 		try {
 			for await (const reply of link.client.link(queue)) debug('reply %o', reply)
 		} catch (error) {
--- a/packages/router/src/lib/PeerServer.ts
+++ b/packages/router/src/lib/PeerServer.ts
@@ -43,7 +43,7 @@
 		private readonly metrics: Metrics,
 		tls: PeerTls | undefined,
 	) {
-		const adapter = connectNodeAdapter({ routes: (router) => this.routes(router) })
+		const adapter = connectNodeAdapter({ routes: (router) => this.registerRoutes(router) })
 		this.server = tls
 			? createSecureServer({ ...tls, requestCert: true, rejectUnauthorized: true }, adapter)
 			: createServer(adapter)
@@ -71,9 +71,9 @@
 		await new Promise<void>((resolve) => this.server.close(() => resolve()))
 	}
 
-	private routes(router: ConnectRouter): void {
+	private registerRoutes(router: ConnectRouter): void {
 		router.service(PeerService, {
-			link: (frames: AsyncIterable<Frame>) => this.link(frames),
+			link: (frames: AsyncIterable<Frame>) => this.receiveFrames(frames),
 			relay: (request: RelayRequest, context: HandlerContext) =>
 				this.handlers.relay(request, context.signal),
 			getBundle: (request: GetBundleRequest) => {
@@ -83,13 +83,13 @@
 		})
 	}
 
-	private async *link(frames: AsyncIterable<Frame>): AsyncGenerator<LinkReply> {
-		for await (const frame of frames) this.take(frame)
+	private async *receiveFrames(frames: AsyncIterable<Frame>): AsyncGenerator<LinkReply> {
+		for await (const frame of frames) this.receiveFrame(frame)
 		// Replies go over the other box's own stream; this one only ends.
 		yield* []
 	}
 
-	private take(frame: Frame): void {
+	private receiveFrame(frame: Frame): void {
 		const from = frame.from as BoxName
 		for (const bytes of frame.messages) {
 			const message = decodeMessage(bytes)
--- a/packages/router/src/lib/RelaySink.ts
+++ b/packages/router/src/lib/RelaySink.ts
@@ -2,21 +2,21 @@
 import { Code, ConnectError } from '@connectrpc/connect'
 import type { Refusal, RequestId } from '@stallwing/core'
 import { RelayChunkSchema, type RelayChunk } from '@stallwing/wire'
-import { refusalAnswer, type AnswerHead, type AnswerSink } from './AnswerSink.js'
+import { refusalResponse, type ResponseHead, type ResponseSink } from './ResponseSink.js'
 import { AsyncQueue } from './AsyncQueue.js'
 
 /** Gives an answer to the box that relayed the request. */
-export class RelaySink implements AnswerSink {
+export class RelaySink implements ResponseSink {
 	readonly chunks = new AsyncQueue<RelayChunk>()
-	private begun = false
+	private hasSentHead = false
 
-	head(head: AnswerHead): void {
-		this.begun = true
+	writeHead(head: ResponseHead): void {
+		this.hasSentHead = true
 		const value = { status: head.status, headers: { ...head.headers } }
 		this.chunks.push(create(RelayChunkSchema, { body: { case: 'head', value } }))
 	}
 
-	data(chunk: Uint8Array): void {
+	write(chunk: Uint8Array): void {
 		this.chunks.push(create(RelayChunkSchema, { body: { case: 'data', value: chunk } }))
 	}
 
@@ -26,13 +26,13 @@
 	}
 
 	fail(refusal: Refusal, id: RequestId | undefined): void {
-		if (this.begun) {
+		if (this.hasSentHead) {
 			this.chunks.fail(new ConnectError(refusal.message, Code.Aborted))
 			return
 		}
-		const { head, body } = refusalAnswer(refusal, id)
-		this.head(head)
-		this.data(body)
+		const { head, body } = refusalResponse(refusal, id)
+		this.writeHead(head)
+		this.write(body)
 		this.end()
 	}
 }
--- a/packages/router/src/lib/AnswerSink.ts
+++ b/packages/router/src/lib/ResponseSink.ts
@@ -1,15 +1,15 @@
 import { REFUSAL_STATUS, type Refusal, type RequestId } from '@stallwing/core'
 
 /** Status and headers of an answer. @public */
-export interface AnswerHead {
+export interface ResponseHead {
 	readonly status: number
 	readonly headers: Readonly<Record<string, string>>
 }
 
 /** Where the answer of a request goes: a caller's connection or a relaying box. */
-export interface AnswerSink {
-	head(head: AnswerHead): void
-	data(chunk: Uint8Array): void
+export interface ResponseSink {
+	writeHead(head: ResponseHead): void
+	write(chunk: Uint8Array): void
 	/** The answer is whole. */
 	end(): void
 	/** The answer will not become whole. After bytes have left the stream is broken off. */
@@ -22,10 +22,10 @@
 }
 
 /** Head and body of a refusal. */
-export function refusalAnswer(
+export function refusalResponse(
 	refusal: Refusal,
 	id: RequestId | undefined,
-): { head: AnswerHead; body: Buffer } {
+): { head: ResponseHead; body: Buffer } {
 	const { type, message, run, retryAfterMs } = refusal
 	const body = Buffer.from(JSON.stringify({ error: { type, message, requestId: id ?? null } }))
 	const headers: Record<string, string> = {
