--- a/packages/router/src/lib/RouterDaemon.ts
+++ b/packages/router/src/lib/RouterDaemon.ts
@@ -33,11 +33,11 @@
 import { readCall } from './readCall.js'
 import { relayCall } from './relayCall.js'
 import { RelaySink } from './RelaySink.js'
-import { RunAnswer } from './RunAnswer.js'
+import { RunResponse } from './RunResponse.js'
 import type { RouterSettings } from './settings.js'
 
-const TICK_MS = 50
-const POLL_MS = 1_000
+const TICK_INTERVAL_MS = 50
+const POLL_INTERVAL_MS = 1_000
 /** Time for the last messages of a planned stop to leave. */
 const EXIT_FLUSH_MS = 100
 
@@ -64,24 +64,24 @@
 export class RouterDaemon {
 	readonly metrics = new Metrics()
 	private readonly platform: PlatformClient
-	private readonly log: LogWriter
+	private readonly logWriter: LogWriter
 	private readonly tls: PeerTls | undefined
-	private readonly links: PeerLinks
-	private readonly peers: PeerServer
-	private readonly callers: CallerServer
-	private readonly admin: AdminServer
-	private readonly attempts: AttemptRunner
-	private readonly fetcher: BundleFetcher
-	private readonly poller: LoadPoller
-	private readonly calls = new Map<CallId, OpenCall>()
-	private readonly answers = new Map<RequestId, RunAnswer>()
-	private readonly attached = new Map<CallId, RequestId>()
-	private readonly relays = new Map<CallId, AbortController>()
+	private readonly peerLinks: PeerLinks
+	private readonly peerServer: PeerServer
+	private readonly callerServer: CallerServer
+	private readonly adminServer: AdminServer
+	private readonly attemptRunner: AttemptRunner
+	private readonly bundleFetcher: BundleFetcher
+	private readonly loadPoller: LoadPoller
+	private readonly openCalls = new Map<CallId, OpenCall>()
+	private readonly responses = new Map<RequestId, RunResponse>()
+	private readonly runOfCall = new Map<CallId, RequestId>()
+	private readonly relayAborts = new Map<CallId, AbortController>()
 	private readonly timers: NodeJS.Timeout[] = []
 	private core: RouterCore | undefined
-	private address = ''
-	private nextRelayed = 1
-	private closed = false
+	private peerAddress = ''
+	private nextRelayedNumber = 1
+	private isClosed = false
 	private incarnation = ''
 
 	constructor(
@@ -90,80 +90,80 @@
 	) {
 		const { box, zone, platform, limits } = settings
 		this.platform = new PlatformClient(platform)
-		this.log = new LogWriter(box, zone, options.writeLog)
+		this.logWriter = new LogWriter(box, zone, options.writeLog)
 		this.tls = readPeerTls(settings)
-		this.links = new PeerLinks(
+		this.peerLinks = new PeerLinks(
 			brandId<BoxName>(box),
 			this.tls,
 			this.metrics,
 			settings.peerFramesPerSecond,
 		)
-		this.fetcher = new BundleFetcher(this.platform, this.links, settings.operators)
-		this.attempts = new AttemptRunner(limits, (runId, attempt, outcome) => {
-			this.take({ kind: 'attempt-ended', runId, attempt, outcome })
+		this.bundleFetcher = new BundleFetcher(this.platform, this.peerLinks, settings.operators)
+		this.attemptRunner = new AttemptRunner(limits, (runId, attempt, outcome) => {
+			this.dispatch({ kind: 'attempt-ended', runId, attempt, outcome })
 		})
-		this.poller = new LoadPoller((reports) => this.take({ kind: 'load', reports }))
-		this.peers = new PeerServer(
+		this.loadPoller = new LoadPoller((reports) => this.dispatch({ kind: 'load', reports }))
+		this.peerServer = new PeerServer(
 			{
-				onMessage: (from, message) => this.take({ kind: 'peer', from, message }),
-				relay: (request, signal) => this.relayed(request, signal),
-				bundleDocument: (version) => this.fetcher.document(version),
+				onMessage: (from, message) => this.dispatch({ kind: 'peer', from, message }),
+				relay: (request, signal) => this.serveRelayed(request, signal),
+				bundleDocument: (version) => this.bundleFetcher.document(version),
 			},
 			this.metrics,
 			this.tls,
 		)
-		this.callers = new CallerServer(
+		this.callerServer = new CallerServer(
 			{
-				open: (call) => this.open(call),
-				closed: (callId, answered) => this.closeCall(callId, answered),
+				onCall: (call) => this.openCall(call),
+				onClosed: (callId, answered) => this.closeCall(callId, answered),
 				isReady: () => this.core?.isReady() ?? false,
 				metrics: () => this.metrics.render(this.gauges()),
 			},
 			limits,
 			this.metrics,
 		)
-		this.admin = new AdminServer({
+		this.adminServer = new AdminServer({
 			status: () => this.status(),
-			explain: (request) => this.log.about(request),
+			explain: (request) => this.logWriter.linesOfRequest(request),
 		})
 	}
 
 	/** Opens the sockets and begins. */
 	async start(): Promise<DaemonAddresses> {
 		const { listen, peerAddress } = this.settings
-		const peers = await this.peers.listen(listen.peers.host, listen.peers.port)
-		const callers = await this.callers.listen(listen.callers.host, listen.callers.port)
-		const admin = await this.admin.listen(listen.admin.host, listen.admin.port)
+		const peers = await this.peerServer.listen(listen.peers.host, listen.peers.port)
+		const callers = await this.callerServer.listen(listen.callers.host, listen.callers.port)
+		const admin = await this.adminServer.listen(listen.admin.host, listen.admin.port)
 		const scheme = this.tls ? 'https' : 'http'
-		this.address = peerAddress ?? `${scheme}://${listen.peers.host}:${peers}`
-		this.newCore()
-		this.timers.push(setInterval(() => this.take({ kind: 'tick' }), TICK_MS))
-		this.timers.push(setInterval(() => this.poll(), POLL_MS))
+		this.peerAddress = peerAddress ?? `${scheme}://${listen.peers.host}:${peers}`
+		this.startCore()
+		this.timers.push(setInterval(() => this.dispatch({ kind: 'tick' }), TICK_INTERVAL_MS))
+		this.timers.push(setInterval(() => this.poll(), POLL_INTERVAL_MS))
 		return {
 			callers: `http://${listen.callers.host}:${callers}`,
-			peers: this.address,
+			peers: this.peerAddress,
 			admin: `http://${listen.admin.host}:${admin}`,
 		}
 	}
 
 	/** Begins a planned stop; `onExit` is called when it is done. */
 	stop(): void {
-		this.take({ kind: 'stop' })
+		this.dispatch({ kind: 'stop' })
 		const timer = setTimeout(() => void this.close(false), this.settings.limits.stopMs)
 		this.timers.push(timer)
 	}
 
 	/** Closes everything at once. */
 	async close(clean: boolean): Promise<void> {
-		if (this.closed) return
-		this.closed = true
+		if (this.isClosed) return
+		this.isClosed = true
 		for (const timer of this.timers) clearTimeout(timer)
-		await this.callers.close()
-		await this.admin.close()
-		this.links.close()
-		await this.peers.close()
-		await this.attempts.close()
-		await this.poller.close()
+		await this.callerServer.close()
+		await this.adminServer.close()
+		this.peerLinks.close()
+		await this.peerServer.close()
+		await this.attemptRunner.close()
+		await this.loadPoller.close()
 		await this.platform.close()
 		this.options.onExit(clean)
 	}
@@ -185,7 +185,7 @@
 			bundleVersion: board?.config.index?.bundle.version ?? 0,
 			platformUp: board?.members.isPlatformUp ?? false,
 			requests: board?.requests.runs.size ?? 0,
-			openCalls: this.callers.openCalls(),
+			openCalls: this.callerServer.openCallCount(),
 			budgets: (ledger?.budgets() ?? []).map((budget) => ({
 				budget,
 				...ledger?.counters(budget),
@@ -202,19 +202,19 @@
 	}
 
 	/** Gives the core an event and carries out what it asks. */
-	private take(event: CoreEvent): void {
-		if (this.closed || !this.core) return
+	private dispatch(event: CoreEvent): void {
+		if (this.isClosed || !this.core) return
 		for (const action of this.core.handle(event, Date.now())) this.perform(action)
 	}
 
-	private newCore(confession?: FinalCountersMessage, after?: Incarnation): void {
+	private startCore(confession?: FinalCountersMessage, after?: Incarnation): void {
 		const incarnation = newIncarnation(Date.now(), after)
 		this.incarnation = incarnation
 		const self: BoxConfig = {
 			box: brandId<BoxName>(this.settings.box),
 			zone: brandId<ZoneName>(this.settings.zone),
 			incarnation: brandId<Incarnation>(incarnation),
-			address: this.address,
+			address: this.peerAddress,
 			timing: DEFAULT_TIMING,
 		}
 		this.core = new RouterCore(self, Math.random, { finalCounters: confession })
@@ -224,8 +224,8 @@
 		switch (action.kind) {
 			case 'refuse':
 				this.metrics.count('stallwing_refused_total', `type="${action.refusal.type}"`)
-				this.calls.get(action.callId)?.sink.fail(action.refusal, action.id)
-				this.calls.delete(action.callId)
+				this.openCalls.get(action.callId)?.sink.fail(action.refusal, action.id)
+				this.openCalls.delete(action.callId)
 				return
 			case 'relay':
 				void this.relay(action)
@@ -237,23 +237,23 @@
 				this.startAttempt(action)
 				return
 			case 'cancel-attempt':
-				this.attempts.cancel(action.runId, action.attempt)
+				this.attemptRunner.cancel(action.runId, action.attempt)
 				return
 			case 'release-answer':
-				this.answers.get(action.runId)?.release()
+				this.responses.get(action.runId)?.releaseWithheld()
 				return
 			case 'fail-run':
 				this.metrics.count('stallwing_refused_total', `type="${action.refusal.type}"`)
-				this.answers.get(action.runId)?.fail(action.refusal)
-				this.answers.delete(action.runId)
+				this.responses.get(action.runId)?.fail(action.refusal)
+				this.responses.delete(action.runId)
 				return
 			case 'drop-answer':
-				this.answers.delete(action.runId)
+				this.responses.delete(action.runId)
 				return
 			case 'platform':
 				void this.platform.call(action.op).then((result) => {
 					this.metrics.count('stallwing_platform_calls_total', `kind="${action.op.kind}"`)
-					this.take({ kind: 'platform', opId: action.opId, result })
+					this.dispatch({ kind: 'platform', opId: action.opId, result })
 				})
 				return
 			case 'send':
@@ -263,10 +263,10 @@
 				void this.fetchBundle(action.version, action.peers)
 				return
 			case 'log':
-				this.log.log(action.event)
+				this.logWriter.log(action.event)
 				return
 			case 'restart':
-				this.newCore(action.finalCounters, action.after)
+				this.startCore(action.finalCounters, action.after)
 				return
 			case 'exit':
 				this.timers.push(setTimeout(() => void this.close(true), EXIT_FLUSH_MS))
@@ -278,63 +278,71 @@
 
 	private send(action: Extract<CoreAction, { kind: 'send' }>): void {
 		if (action.to !== this.settings.box) {
-			this.links.send(action.address, action.message)
+			this.peerLinks.send(action.address, action.message)
 			return
 		}
 		const from = brandId<BoxName>(this.settings.box)
-		setImmediate(() => this.take({ kind: 'peer', from, message: action.message }))
+		setImmediate(() => this.dispatch({ kind: 'peer', from, message: action.message }))
 	}
 
-	private open(call: OpenCall): void {
-		this.calls.set(call.request.callId, call)
-		this.take({ kind: 'request', request: call.request })
+	private openCall(call: OpenCall): void {
+		this.openCalls.set(call.request.callId, call)
+		this.dispatch({ kind: 'request', request: call.request })
 	}
 
 	/** A caller's connection has closed, with or without its answer. */
 	private closeCall(callId: CallId, answered: boolean): void {
-		const call = this.calls.get(callId)
-		const id = this.attached.get(callId)
-		if (call && id !== undefined) this.answers.get(id)?.detach(call.sink)
-		this.attached.delete(callId)
-		this.calls.delete(callId)
+		const call = this.openCalls.get(callId)
+		const id = this.runOfCall.get(callId)
+		if (call && id !== undefined) this.responses.get(id)?.detach(call.sink)
+		this.runOfCall.delete(callId)
+		this.openCalls.delete(callId)
 		if (answered) return
-		this.relays.get(callId)?.abort()
-		this.take({ kind: 'caller-gone', callId })
+		this.relayAborts.get(callId)?.abort()
+		this.dispatch({ kind: 'caller-gone', callId })
 	}
 
 	private attach(callId: CallId, id: RequestId): void {
-		const call = this.calls.get(callId)
+		const call = this.openCalls.get(callId)
 		if (!call) return
-		let answer = this.answers.get(id)
+		let answer = this.responses.get(id)
 		if (!answer) {
-			answer = new RunAnswer(id, call.outgoing)
-			this.answers.set(id, answer)
+			answer = new RunResponse(id, call.outgoing)
+			this.responses.set(id, answer)
 		}
-		this.attached.set(callId, id)
+		this.runOfCall.set(callId, id)
 		answer.attach(call.sink)
 	}
 
 	private startAttempt(action: Extract<CoreAction, { kind: 'start-attempt' }>): void {
-		const answer = this.answers.get(action.runId)
-		if (answer) this.attempts.start(action, answer.outgoing, answer)
+		const answer = this.responses.get(action.runId)
+		if (answer) this.attemptRunner.start(action, answer.outgoing, answer)
 	}
 
 	private async relay(action: Extract<CoreAction, { kind: 'relay' }>): Promise<void> {
-		const call = this.calls.get(action.callId)
+		const call = this.openCalls.get(action.callId)
 		if (!call) return
 		const abort = new AbortController()
-		this.relays.set(action.callId, abort)
-		const client = this.links.client(action.address)
+		this.relayAborts.set(action.callId, abort)
+		const client = this.peerLinks.client(action.address)
 		const end = await relayCall(client, action, call, abort.signal)
-		this.relays.delete(action.callId)
-		if (end.kind === 'answered') this.calls.delete(action.callId)
-		else this.take({ kind: 'relay-failed', callId: action.callId, notRun: end.kind === 'not-sent' })
+		this.relayAborts.delete(action.callId)
+		if (end.kind === 'answered') this.openCalls.delete(action.callId)
+		else
+			this.dispatch({
+				kind: 'relay-failed',
+				callId: action.callId,
+				notRun: end.kind === 'not-sent',
+			})
 	}
 
 	/** Serves a call that another box passed on. */
-	private async *relayed(request: RelayRequest, signal: AbortSignal): AsyncGenerator<RelayChunk> {
+	private async *serveRelayed(
+		request: RelayRequest,
+		signal: AbortSignal,
+	): AsyncGenerator<RelayChunk> {
 		const sink = new RelaySink()
-		const callId = brandId<CallId>(`relayed-${this.nextRelayed++}`)
+		const callId = brandId<CallId>(`relayed-${this.nextRelayedNumber++}`)
 		const { account, key, method, path, contentType, priority, deadline, hops } = request
 		const read = readCall({
 			callId,
@@ -354,41 +362,41 @@
 		if (E.isLeft(read)) sink.fail(read.left, undefined)
 		else {
 			const { request: core, outgoing } = read.right
-			this.open({ request: core, outgoing, sink, callerPath: path, startedAt: Date.now() })
+			this.openCall({ request: core, outgoing, sink, callerPath: path, startedAt: Date.now() })
 		}
 		yield* sink.chunks
 		this.closeCall(callId, true)
 	}
 
 	private async fetchBundle(version: number, peers: readonly string[]): Promise<void> {
-		const result = await this.fetcher.fetch(version, peers)
-		if (result.kind === 'taken') this.take({ kind: 'bundle', bundle: result.bundle })
+		const result = await this.bundleFetcher.fetch(version, peers)
+		if (result.kind === 'taken') this.dispatch({ kind: 'bundle', bundle: result.bundle })
 		if (result.kind === 'refused')
-			this.log.log({ name: 'bundle-refused', fields: { version, faults: result.faults } })
+			this.logWriter.log({ name: 'bundle-refused', fields: { version, faults: result.faults } })
 	}
 
 	private poll(): void {
-		this.links.closeIdle()
+		this.peerLinks.closeIdle()
 		const index = this.core?.blackboard.config.index
 		if (!index || !this.core?.blackboard.roles.isLeader) return
-		void this.poller.poll(index.targetsOf(brandId<ZoneName>(this.settings.zone)))
-		void this.readList(index)
+		void this.loadPoller.poll(index.targetsOf(brandId<ZoneName>(this.settings.zone)))
+		void this.pollLeavingTargets(index)
 	}
 
 	/** Tells the core which targets the platform's list calls leaving. */
-	private async readList(index: BundleIndex): Promise<void> {
+	private async pollLeavingTargets(index: BundleIndex): Promise<void> {
 		const names = await this.platform.leavingBoxNames()
 		if (!names) return
 		const targets = names.map((name) => brandId<TargetName>(name))
 		const known = targets.filter((name) => index.target(name) !== undefined)
-		this.take({ kind: 'leaving-targets', targets: known })
+		this.dispatch({ kind: 'leaving-targets', targets: known })
 	}
 
 	private gauges(): Record<string, number> {
 		const cpu = process.cpuUsage()
 		return {
-			stallwing_open_calls: this.callers.openCalls(),
-			stallwing_kept_answers: this.answers.size,
+			stallwing_open_calls: this.callerServer.openCallCount(),
+			stallwing_kept_answers: this.responses.size,
 			stallwing_resident_bytes: process.memoryUsage.rss(),
 			stallwing_heap_used_bytes: process.memoryUsage().heapUsed,
 			stallwing_cpu_microseconds_total: cpu.user + cpu.system,
--- a/packages/router/src/lib/chat.ts
+++ b/packages/router/src/lib/chat.ts
@@ -17,9 +17,9 @@
 export type ChatRequest = z.infer<typeof chatSchema>
 
 /** Lowest number of bytes that a token stands for in the estimate; no real prompt goes below. */
-const BYTES_PER_TOKEN = 3
-const TOKENS_PER_MESSAGE = 8
-const PREFIX_CHARACTERS = 256
+const MIN_BYTES_PER_TOKEN = 3
+const OVERHEAD_TOKENS_PER_MESSAGE = 8
+const HASHED_PREFIX_CHARS = 256
 
 /** Reads a chat-completions body. The left side says what is wrong. */
 export function parseChat(body: Buffer): E.Either<string, ChatRequest> {
@@ -39,13 +39,14 @@
 export function chatWork(chat: ChatRequest): Extract<Work, { kind: 'model' }> {
 	let tokens = 0
 	for (const { content } of chat.messages)
-		tokens += Math.ceil(Buffer.byteLength(content) / BYTES_PER_TOKEN) + TOKENS_PER_MESSAGE
+		tokens +=
+			Math.ceil(Buffer.byteLength(content) / MIN_BYTES_PER_TOKEN) + OVERHEAD_TOKENS_PER_MESSAGE
 	const prompt = chat.messages.map((message) => message.content).join('\n')
 	return {
 		kind: 'model',
 		model: chat.model,
 		inputTokens: tokens,
 		...(chat.max_tokens === undefined ? {} : { maxOutputTokens: chat.max_tokens }),
-		prefixHash: fnv1a(prompt.slice(0, PREFIX_CHARACTERS)).toString(36),
+		prefixHash: fnv1a(prompt.slice(0, HASHED_PREFIX_CHARS)).toString(36),
 	}
 }
--- a/packages/router/src/lib/peerTransport.ts
+++ b/packages/router/src/lib/peerTransport.ts
@@ -11,7 +11,7 @@
 	readonly ca: Buffer
 }
 
-const IDLE_PING_MS = 5_000
+const PING_INTERVAL_MS = 5_000
 const PING_TIMEOUT_MS = 2_000
 
 /** Reads the key files of the settings; undefined where boxes talk in the clear. */
@@ -26,12 +26,15 @@
 }
 
 /** Opens a client to another box over HTTP/2. */
-export function openPeer(address: string, tls: PeerTls | undefined): Client<typeof PeerService> {
+export function createPeerClient(
+	address: string,
+	tls: PeerTls | undefined,
+): Client<typeof PeerService> {
 	const transport: Transport = createConnectTransport({
 		baseUrl: address,
 		httpVersion: '2',
 		useBinaryFormat: true,
-		pingIntervalMs: IDLE_PING_MS,
+		pingIntervalMs: PING_INTERVAL_MS,
 		pingTimeoutMs: PING_TIMEOUT_MS,
 		...(tls ? { nodeOptions: { key: tls.key, cert: tls.cert, ca: tls.ca } } : {}),
 	})
--- a/packages/router/src/lib/readCall.ts
+++ b/packages/router/src/lib/readCall.ts
@@ -34,8 +34,8 @@
 
 const CHAT_PATH = '/v1/chat/completions'
 /** 128 bits of the hash of a body: enough to tell two bodies of one key apart. */
-const BODY_HASH_CHARACTERS = 22
-const SERVICE_PATH = /^\/services\/([a-z0-9][a-z0-9-]{0,39})(\/.*)?$/
+const BODY_HASH_CHARS = 22
+const SERVICE_PATH_PATTERN = /^\/services\/([a-z0-9][a-z0-9-]{0,39})(\/.*)?$/
 
 /** Turns a raw call into a request for the core and the call that goes to a target. */
 export function readCall(
@@ -43,16 +43,16 @@
 ): E.Either<Refusal, { request: CallerRequest; outgoing: OutgoingCall }> {
 	const priority = raw.priority ?? 'ordinary'
 	if (priority !== 'urgent' && priority !== 'ordinary')
-		return malformed('stallwing-priority: expected urgent or ordinary')
+		return malformedRequest('stallwing-priority: expected urgent or ordinary')
 	if (raw.repeat !== undefined && raw.repeat !== 'never' && raw.repeat !== 'allowed')
-		return malformed('stallwing-repeat: expected never or allowed')
-	const target = readTarget(raw)
+		return malformedRequest('stallwing-repeat: expected never or allowed')
+	const target = readWork(raw)
 	if (E.isLeft(target)) return target
 	const { work, outgoing } = target.right
-	return E.right({ request: makeRequest(raw, work, priority), outgoing })
+	return E.right({ request: toCallerRequest(raw, work, priority), outgoing })
 }
 
-function makeRequest(raw: RawCall, work: Work, priority: Priority): CallerRequest {
+function toCallerRequest(raw: RawCall, work: Work, priority: Priority): CallerRequest {
 	const hash = createHash('sha256')
 	hash.update(`${raw.method} ${raw.path}\n`)
 	hash.update(raw.body)
@@ -62,7 +62,7 @@
 		...(raw.account === undefined ? {} : { account: brandId<AccountName>(raw.account) }),
 		...(raw.idempotencyKey === undefined ? {} : { idempotencyKey: raw.idempotencyKey }),
 		...(raw.budget === undefined ? {} : { budget: brandId<BudgetName>(raw.budget) }),
-		bodyHash: hash.digest('base64url').slice(0, BODY_HASH_CHARACTERS),
+		bodyHash: hash.digest('base64url').slice(0, BODY_HASH_CHARS),
 		work,
 		priority,
 		repeatable: raw.repeat !== 'never',
@@ -76,11 +76,11 @@
 	return `sha256:${createHash('sha256').update(key).digest('hex')}`
 }
 
-function readTarget(raw: RawCall): E.Either<Refusal, { work: Work; outgoing: OutgoingCall }> {
+function readWork(raw: RawCall): E.Either<Refusal, { work: Work; outgoing: OutgoingCall }> {
 	const { method, contentType, body } = raw
 	const path = raw.path.split('?')[0] ?? ''
 	if (path === CHAT_PATH) return readChat(raw)
-	const match = SERVICE_PATH.exec(path)
+	const match = SERVICE_PATH_PATTERN.exec(path)
 	if (!match) return E.left(notRun('unknown-service', `no such path: ${path}`))
 	const service = match[1] as string
 	const rest = raw.path.slice(`/services/${service}`.length) || '/'
@@ -91,9 +91,9 @@
 }
 
 function readChat(raw: RawCall): E.Either<Refusal, { work: Work; outgoing: OutgoingCall }> {
-	if (raw.method !== 'POST') return malformed(`${CHAT_PATH} takes POST`)
+	if (raw.method !== 'POST') return malformedRequest(`${CHAT_PATH} takes POST`)
 	const chat = parseChat(raw.body)
-	if (E.isLeft(chat)) return malformed(chat.left)
+	if (E.isLeft(chat)) return malformedRequest(chat.left)
 	const { body, contentType } = raw
 	const stream = chat.right.stream === true
 	return E.right({
@@ -108,6 +108,6 @@
 	})
 }
 
-function malformed(message: string): E.Either<Refusal, never> {
+function malformedRequest(message: string): E.Either<Refusal, never> {
 	return E.left(notRun('malformed-request', message))
 }
--- a/packages/router/src/lib/relayCall.ts
+++ b/packages/router/src/lib/relayCall.ts
@@ -6,7 +6,7 @@
 type RelayAction = Extract<CoreAction, { kind: 'relay' }>
 
 /** How a relayed call ended at this side. */
-export type RelayEnd =
+export type RelayOutcome =
 	/** The answer, or the owner's refusal, went to the caller. */
 	| { readonly kind: 'answered' }
 	/** Nothing of the request left this box. */
@@ -17,7 +17,7 @@
 	| { readonly kind: 'broken' }
 
 /** Codes that a client gives before it has a connection. */
-const NOT_CONNECTED = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH|ENOTFOUND/
+const CONNECT_ERROR_PATTERN = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH|ENOTFOUND/
 
 /** Passes a call on to the box that owns its key, and the answer back as it comes. */
 export async function relayCall(
@@ -25,19 +25,19 @@
 	action: RelayAction,
 	call: OpenCall,
 	signal: AbortSignal,
-): Promise<RelayEnd> {
+): Promise<RelayOutcome> {
 	let begun = false
 	let whole = false
 	try {
 		for await (const { body } of client.relay(relayRequest(action, call), { signal })) {
 			if (body.case === 'head') {
 				begun = true
-				call.sink.head(body.value)
-			} else if (body.case === 'data') call.sink.data(body.value)
+				call.sink.writeHead(body.value)
+			} else if (body.case === 'data') call.sink.write(body.value)
 			else if (body.case === 'end') whole = true
 		}
 	} catch (error) {
-		return begun ? { kind: 'broken' } : failureOf(error)
+		return begun ? { kind: 'broken' } : outcomeOfError(error)
 	}
 	if (!whole) return begun ? { kind: 'broken' } : { kind: 'no-answer' }
 	call.sink.end()
@@ -61,9 +61,9 @@
 	}
 }
 
-function failureOf(error: unknown): RelayEnd {
+function outcomeOfError(error: unknown): RelayOutcome {
 	const reason = ConnectError.from(error)
-	const connected = !NOT_CONNECTED.test(`${reason.message} ${String(reason.cause)}`)
+	const connected = !CONNECT_ERROR_PATTERN.test(`${reason.message} ${String(reason.cause)}`)
 	const unavailable = reason.code === Code.Unavailable
 	return unavailable && !connected ? { kind: 'not-sent' } : { kind: 'no-answer' }
 }
--- a/packages/router/src/lib/settings.ts
+++ b/packages/router/src/lib/settings.ts
@@ -3,21 +3,23 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { z } from 'zod'
 
-const listen = z.strictObject({
+const listenSchema = z.strictObject({
 	host: z.string().default('127.0.0.1').describe('IP number to listen on'),
 	port: z.number().int().min(0).max(65_535).describe('TCP port; 0 chooses a free one'),
 })
 
-const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,39}$/, 'lower-case letters, digits, dashes')
+const nameSchema = z
+	.string()
+	.regex(/^[a-z0-9][a-z0-9-]{0,39}$/, 'lower-case letters, digits, dashes')
 
 /** Schema of a router's settings file. The settings reference is made from it. @public */
 export const settingsSchema = z.strictObject({
-	box: name.describe('Name of this box; the same after each restart'),
-	zone: name.describe('Availability zone of this box'),
+	box: nameSchema.describe('Name of this box; the same after each restart'),
+	zone: nameSchema.describe('Availability zone of this box'),
 	listen: z.strictObject({
-		callers: listen.describe('Where callers connect'),
-		peers: listen.describe('Where other boxes connect'),
-		admin: listen
+		callers: listenSchema.describe('Where callers connect'),
+		peers: listenSchema.describe('Where other boxes connect'),
+		admin: listenSchema
 			.default({ host: '127.0.0.1', port: 0 })
 			.describe('Status and explanations, for operators'),
 	}),
@@ -30,7 +32,7 @@
 		timeoutMs: z.number().int().min(10).default(1_000).describe('Time-out of a call, in ms'),
 	}),
 	operators: z
-		.array(z.strictObject({ name, publicKey: z.string().describe('PEM, ed25519') }))
+		.array(z.strictObject({ name: nameSchema, publicKey: z.string().describe('PEM, ed25519') }))
 		.min(2)
 		.describe('Operators whose signatures on a bundle count'),
 	limits: z
