--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** What a process tells about itself: metrics and log lines. */
+/** Telemetry of a process: metrics and structured logs. */
 export { BoundedLog, type BoundedLogOptions } from './lib/BoundedLog.js'
 export { Metrics } from './lib/Metrics.js'
 export { StoreCallCounter } from './lib/StoreCallCounter.js'
--- a/packages/telemetry/src/lib/BoundedLog.ts
+++ b/packages/telemetry/src/lib/BoundedLog.ts
@@ -1,27 +1,27 @@
 import { LOG_EVENTS, type LogEvent } from '@stallwing/core'
 
-/** Where lines go, and how many may. @public */
+/** Output, rate limit and clock of a {@link BoundedLog}. @public */
 export interface BoundedLogOptions {
 	readonly box: string
 	readonly zone: string
-	/** Lines a second that are written at most; further ones are counted and left out. */
+	/** Maximum lines per second; lines over the limit are dropped and counted. */
 	readonly linesPerSecond: number
-	/** Writes a batch without blocking, and calls back when it is written. */
+	/** Writes a batch without blocking, and calls `done` when it is written. */
 	readonly write: (batch: string, done: () => void) => void
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
-	/** Calls back after some ms. */
+	/** Runs the callback after `ms` milliseconds. */
 	readonly schedule: (callback: () => void, ms: number) => void
 }
 
-/** Characters that wait at most when nobody reads the output. */
+/** Size of the buffer, which fills while the output accepts no data. */
 const MAX_BUFFERED_CHARS = 256 * 1024
 const FLUSH_DELAY_MS = 100
 const SECOND_MS = 1_000
 
 /**
- * Writes one JSON line for each numbered event, in batches. Never blocks: lines over the rate, and
- * lines that find the buffer full, are dropped and counted, and the next batch says how many.
+ * Writes one JSON line per log event, in batches, and never blocks. Drops lines over the rate limit and lines that
+ * arrive while the buffer is full; the next batch contains an event with their number.
  * @public
  */
 export class BoundedLog {
@@ -44,7 +44,7 @@
 		this.scheduleFlush()
 	}
 
-	/** Hands all waiting lines to the output at once: the process is about to end. */
+	/** Starts to write all buffered lines now, unless a write is in progress. Call it before the process exits. */
 	flush(): void {
 		if (this.droppedLines > 0) this.appendDroppedCount()
 		if (this.bufferedLines.length === 0 || this.isWriting) return
--- a/packages/telemetry/src/lib/Metrics.ts
+++ b/packages/telemetry/src/lib/Metrics.ts
@@ -3,7 +3,7 @@
 const MAX_DURATION_MS = 600_000
 const PERCENTILES = [50, 90, 99, 99.9]
 
-/** Counters and latency histograms in Prometheus text. @public */
+/** Counters and latency histograms, rendered in the Prometheus text format. @public */
 export class Metrics {
 	private readonly counters = new Map<string, number>()
 	private readonly histograms = new Map<string, Histogram>()
@@ -14,7 +14,7 @@
 		this.counters.set(key, (this.counters.get(key) ?? 0) + amount)
 	}
 
-	/** Notes a duration, in ms. */
+	/** Adds a duration in ms, clamped to 10 minutes, to a histogram. */
 	recordDuration(name: string, ms: number): void {
 		let histogram = this.histograms.get(name)
 		if (!histogram) {
@@ -27,7 +27,7 @@
 		histogram.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, Math.round(ms))))
 	}
 
-	/** All metrics, with gauges that the caller has at hand. */
+	/** Renders all counters and histograms, and the given gauges. */
 	render(gauges: Readonly<Record<string, number>>): string {
 		const lines: string[] = []
 		for (const [name, value] of this.counters) lines.push(`${name} ${value}`)
--- a/packages/telemetry/src/lib/StoreCallCounter.ts
+++ b/packages/telemetry/src/lib/StoreCallCounter.ts
@@ -2,8 +2,7 @@
 import type { Metrics } from './Metrics.js'
 
 /**
- * Counts calls to the store by kind and outcome, in the metrics and for a log line now and then: each
- * call is paid for.
+ * Counts calls to the store by kind and outcome, in the metrics and for a periodic log event.
  * @public
  */
 export class StoreCallCounter {
@@ -17,7 +16,7 @@
 		this.counts.set(key, (this.counts.get(key) ?? 0) + 1)
 	}
 
-	/** What was counted since the last report; undefined where there was nothing. */
+	/** Returns the counts since the previous report and resets them; undefined if there were no calls. */
 	takeReport(): LogEvent | undefined {
 		if (this.counts.size === 0) return undefined
 		const fields = Object.fromEntries(this.counts)
--- a/packages/telemetry/src/lib/writeInChunks.test.ts
+++ b/packages/telemetry/src/lib/writeInChunks.test.ts
@@ -8,12 +8,12 @@
 	let folder: string
 
 	beforeEach(() => {
-		folder = mkdtempSync(join(tmpdir(), 'pieces-'))
+		folder = mkdtempSync(join(tmpdir(), 'chunks-'))
 	})
 
 	afterEach(() => rmSync(folder, { recursive: true }))
 
-	it('writes all of a text that is longer than a piece, in order', async () => {
+	it('writes a text that is longer than one chunk completely and in order', async () => {
 		const file = join(folder, 'out')
 		const descriptor = openSync(file, 'w')
 		const text = Array.from({ length: 3_000 }, (_, i) => `line ${i} ä\n`).join('')
@@ -22,7 +22,7 @@
 		expect(readFileSync(file, 'utf8')).toBe(text)
 	})
 
-	it('ends where nobody reads any more', async () => {
+	it('calls back when the write fails', async () => {
 		const descriptor = openSync(join(folder, 'out'), 'w')
 		closeSync(descriptor)
 		await new Promise<void>((resolve) => writeInChunks(descriptor, 'lost', resolve))
--- a/packages/telemetry/src/lib/writeInChunks.ts
+++ b/packages/telemetry/src/lib/writeInChunks.ts
@@ -1,21 +1,21 @@
 import { write } from 'node:fs'
 
-/** Bytes of one write: what a pipe takes whole (PIPE_BUF), so that no line is cut off. */
+/** PIPE_BUF on Linux: writes of up to this size to a pipe are atomic. */
 const MAX_CHUNK_BYTES = 4_096
 
 /**
- * Writes a text to a file descriptor without blocking, in pieces; a pipe that takes only a part of one gets the
- * rest later. Calls back when all is written, or nobody reads any more.
+ * Writes a text to a file descriptor in chunks, without blocking, and continues after partial writes. Calls `done`
+ * when all bytes are written, or at the first write error, such as a pipe whose reader has closed it.
  * @public
  */
 export function writeInChunks(descriptor: number, text: string, done: () => void): void {
 	const bytes = Buffer.from(text)
-	const step = (offset: number): void => {
+	const writeFrom = (offset: number): void => {
 		const length = Math.min(MAX_CHUNK_BYTES, bytes.length - offset)
 		write(descriptor, bytes, offset, length, null, (error, written) => {
 			if (error || offset + written >= bytes.length) done()
-			else step(offset + written)
+			else writeFrom(offset + written)
 		})
 	}
-	step(0)
+	writeFrom(0)
 }
--- a/packages/wire/src/lib/peerCodec.test.ts
+++ b/packages/wire/src/lib/peerCodec.test.ts
@@ -7,13 +7,13 @@
 }
 
 describe('peerCodec', () => {
-	it('carries an acknowledgement unchanged', () => {
+	it('encodes and decodes an acknowledgement without changes', () => {
 		const incarnation = brandId<Incarnation>('i1')
 		const message: PeerMessage = { kind: 'log-ack', incarnation, view: 3, seq: 7 }
 		expect(roundTrip(message)).toMatchObject(message)
 	})
 
-	it('keeps an absent view of a digest absent', () => {
+	it('leaves the view of a digest undefined if it is absent', () => {
 		const box = brandId<BoxName>('box-1')
 		const incarnation = brandId<Incarnation>('i1')
 		const keeper = { box, incarnation, address: 'http://127.0.0.1:1', leaving: false }
@@ -28,8 +28,8 @@
 			reports: [],
 			leavingTargets: [],
 		}
-		const read = roundTrip(message)
-		expect(read).toMatchObject(message)
-		expect(read?.kind === 'digest' && read.view).toBeUndefined()
+		const decoded = roundTrip(message)
+		expect(decoded).toMatchObject(message)
+		expect(decoded?.kind === 'digest' && decoded.view).toBeUndefined()
 	})
 })
--- a/packages/wire/src/lib/peerCodec.ts
+++ b/packages/wire/src/lib/peerCodec.ts
@@ -2,12 +2,13 @@
 import { brandId, type BoxName, type Incarnation, type PeerMessage } from '@stallwing/core'
 import { PeerMessageSchema, type PeerMessage as WireMessage } from '../gen/stallwing/v1/peer_pb.js'
 
+/** In log records, these stand for the box and the incarnation of the batch. */
 const OMITTED_BOX = brandId<BoxName>('')
 const OMITTED_INCARNATION = brandId<Incarnation>('')
 
 type WireCase = NonNullable<WireMessage['body']['case']>
 
-/** `log-ack` in the core is `logAck` on the wire. */
+/** Returns the protobuf case of a message kind, such as `logAck` for `log-ack`. */
 function toWireCase(kind: PeerMessage['kind']): WireCase {
 	return kind.replace(/-(\w)/g, (_, letter: string) => letter.toUpperCase()) as WireCase
 }
@@ -18,25 +19,26 @@
 
 type LogMessage = Extract<PeerMessage, { kind: 'log' }>
 
-/** In a log, records of the sender's own runs leave its name out. */
+/** Shortens a log message: omits box and incarnation in the records that have those of the batch. */
 function omitSenderIdentity(message: LogMessage): LogMessage {
 	const { box, incarnation, records } = message.batch
-	const short = records.map((record) => {
-		const own = record.box === box && record.incarnation === incarnation
-		return own ? { ...record, box: OMITTED_BOX, incarnation: OMITTED_INCARNATION } : record
+	const shortened = records.map((record) => {
+		const isOwn = record.box === box && record.incarnation === incarnation
+		return isOwn ? { ...record, box: OMITTED_BOX, incarnation: OMITTED_INCARNATION } : record
 	})
-	return { ...message, batch: { ...message.batch, records: short } }
+	return { ...message, batch: { ...message.batch, records: shortened } }
 }
 
+/** Reverses {@link omitSenderIdentity}. */
 function restoreSenderIdentity(message: LogMessage): LogMessage {
 	const { box, incarnation, records } = message.batch
-	const long = records.map((record) => {
+	const restored = records.map((record) => {
 		return record.box === OMITTED_BOX ? { ...record, box, incarnation } : record
 	})
-	return { ...message, batch: { ...message.batch, records: long } }
+	return { ...message, batch: { ...message.batch, records: restored } }
 }
 
-/** Makes the wire form of a message between boxes. Field names are the same on both sides. */
+/** Converts a message to its protobuf form, which has the same field names. */
 function toWire(message: PeerMessage): WireMessage {
 	const { kind, ...value } = message.kind === 'log' ? omitSenderIdentity(message) : message
 	const body = { case: toWireCase(kind), value }
@@ -50,12 +52,12 @@
 	return message.kind === 'log' ? restoreSenderIdentity(message) : message
 }
 
-/** Bytes of a message between boxes. @public */
+/** Encodes a message between boxes. @public */
 export function encodeMessage(message: PeerMessage): Uint8Array {
 	return toBinary(PeerMessageSchema, toWire(message))
 }
 
-/** Reads the bytes of a message; undefined for a kind that this version does not know. @public */
+/** Decodes a message between boxes; undefined if this version does not know its kind. Throws if the bytes are malformed. @public */
 export function decodeMessage(bytes: Uint8Array): PeerMessage | undefined {
 	return fromWire(fromBinary(PeerMessageSchema, bytes))
 }
