--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for what stallwing meets outside: platform, model engine, plain service. */
+/** Stand-ins for the external systems of stallwing: the platform and its store, model engines, other targets. */
 export { KvStore, type CallCounts } from './lib/KvStore.js'
 export { type RunningStandin } from './lib/httpHelpers.js'
 export {
--- a/packages/standins/src/lib/CrashingTarget.ts
+++ b/packages/standins/src/lib/CrashingTarget.ts
@@ -2,33 +2,33 @@
 import type { AddressInfo, Socket } from 'node:net'
 import { readBody, sleep } from './httpHelpers.js'
 
-/** How a {@link CrashingTarget} behaves. @public */
+/** Options of a {@link CrashingTarget}. @public */
 export interface CrashingTargetOptions {
 	readonly name: string
-	/** True for the body of a request that ends the process of the target. */
+	/** Returns true for the body of a request that crashes the target. */
 	readonly isFatal: (body: string) => boolean
-	/** Time from the arrival of such a request to the end, in ms. */
+	/** Time from the arrival of such a request to the crash, in ms. */
 	readonly crashDelayMs: number
-	/** Time from the end to the next start, in ms. */
+	/** Time from the crash to the restart, in ms. */
 	readonly restartDelayMs: number
-	/** Time that other requests take, in ms. */
+	/** Processing time of all other requests, in ms. */
 	readonly processingMs: number
-	/** Names of the headers that answers carry. */
+	/** Names of the response headers. */
 	readonly headers: { readonly requestId: string; readonly mark: string }
-	/** The target has started: its address, and the time of day of its start in ms. */
-	readonly onStarted: (address: string, bornAt: number) => void
+	/** Called at each start, with the address and the wall-clock time in ms. */
+	readonly onStarted: (address: string, startedAt: number) => void
 }
 
 const EVENTS_BEFORE_CRASH = 2
 const LOOPBACK = '127.0.0.1'
 
 /**
- * A target whose process ends under certain requests and starts again some time later at its address, under its name:
- * all its connections are reset at once, new ones are refused meanwhile.
+ * A target that crashes on certain requests and restarts after a delay with the same address and name. A crash resets
+ * all open connections; new connections are refused until the restart.
  * @public
  */
 export class CrashingTarget {
-	/** Steady time of each end, in ms. */
+	/** Times of the crashes on the monotonic clock, in ms. */
 	readonly crashTimes: number[] = []
 	private server: Server | undefined
 	private readonly sockets = new Set<Socket>()
@@ -40,19 +40,20 @@
 	async start(): Promise<void> {
 		const server = createServer((message, response) => {
 			void readBody(message).then(async (body) => {
-				const { headers, name, processingMs: workMs } = this.options
+				const { headers, name, processingMs } = this.options
 				const isStream = message.url?.includes('stream') || message.url?.includes('resume')
 				response.setHeader(headers.requestId, message.headers[headers.requestId] ?? '')
 				response.setHeader(headers.mark, name)
 				if (isStream) response.setHeader('Content-Type', 'text/event-stream')
 				if (!this.options.isFatal(body)) {
-					await sleep(workMs)
+					await sleep(processingMs)
 					response.end(isStream ? formatEvent(1) : 'ok')
 					return
 				}
-				const after = Number(message.headers['last-event-id'] ?? 0)
+				const lastEventId = Number(message.headers['last-event-id'] ?? 0)
 				if (isStream)
-					for (let i = 1; i <= EVENTS_BEFORE_CRASH; i++) response.write(formatEvent(after + i))
+					for (let i = 1; i <= EVENTS_BEFORE_CRASH; i++)
+						response.write(formatEvent(lastEventId + i))
 				await sleep(this.options.crashDelayMs)
 				this.crash(server)
 			})
@@ -73,7 +74,7 @@
 	}
 
 	private crash(server: Server): void {
-		// A second fatal request on the same start ends with it.
+		// An earlier fatal request has crashed this server already.
 		if (server !== this.server) return
 		this.crashTimes.push(performance.now())
 		this.terminate()
--- a/packages/standins/src/lib/EngineScheduler.ts
+++ b/packages/standins/src/lib/EngineScheduler.ts
@@ -1,32 +1,32 @@
-/** One request inside the engine. */
+/** A request in the engine. */
 export interface EngineRun {
 	readonly id: string
 	readonly isUrgent: boolean
 	readonly promptTokens: number
 	readonly outputTokens: number
-	/** Prompt tokens that still have to be read in. */
+	/** Prompt tokens that are not processed yet. */
 	unreadPromptTokens: number
 	producedTokens: number
 	isCancelled: boolean
-	/** Called after each change; the run is over once `isOver` says so. */
+	/** Called after each step in which the run takes part; {@link isFinished} tells whether it was the last. */
 	progressListeners: (() => void)[]
 }
 
-/** Cost model of the engine stand-in. @public */
+/** Capacity and latency of the engine stand-in. @public */
 export interface EngineModel {
-	/** Requests that one step may serve together. */
+	/** Maximum number of requests in one step. */
 	readonly batchLimit: number
-	/** Time of a step with an empty batch, in ms. */
+	/** Duration of a step with an empty batch, in ms. */
 	readonly stepMs: number
-	/** Added time per request in the batch, in ms. */
+	/** Additional duration of a step per request in the batch, in ms. */
 	readonly stepPerRequestMs: number
-	/** Prompt tokens read in per step, over all requests. */
+	/** Maximum number of prompt tokens processed in one step, over all requests. */
 	readonly prefillPerStep: number
-	/** Prompt prefixes kept. */
+	/** Maximum number of prompt prefixes in the cache. */
 	readonly prefixCacheEntries: number
 }
 
-/** A small engine: 32 together, about 25 ms a token when busy. @public */
+/** A small engine: batches of up to 32 requests, about 25 ms per token at full load. @public */
 export const DEFAULT_ENGINE_MODEL: EngineModel = {
 	batchLimit: 32,
 	stepMs: 8,
@@ -35,14 +35,14 @@
 	prefixCacheEntries: 64,
 }
 
-/** Says whether a run will produce nothing more. */
+/** Returns true if the run will produce no further tokens. */
 export function isFinished(run: EngineRun): boolean {
 	return run.isCancelled || run.producedTokens >= run.outputTokens
 }
 
 /**
- * Continuous batching: at each step urgent requests enter the batch first, prompts are read in up
- * to a limit, and each request that has been read in produces one token.
+ * Continuous batching. Each step fills the batch, urgent requests first, processes prompt tokens up to the limit, and
+ * produces one token for each request whose prompt is complete.
  */
 export class EngineScheduler {
 	private readonly queue: EngineRun[] = []
@@ -60,7 +60,7 @@
 		return this.queue.length
 	}
 
-	/** Adds a run. A prefix in the cache needs no reading in. */
+	/** Queues a run. A cached prefix cuts the prompt tokens to process to a tenth. */
 	add(run: EngineRun, prefix: string): void {
 		if (this.prefixCache.has(prefix))
 			run.unreadPromptTokens = Math.ceil(run.unreadPromptTokens / 10)
@@ -94,11 +94,11 @@
 			if (!next) break
 			this.batch.push(next)
 		}
-		let prefill = this.model.prefillPerStep
+		let promptTokensLeft = this.model.prefillPerStep
 		for (const run of this.batch) {
-			const read = Math.min(prefill, run.unreadPromptTokens)
-			prefill -= read
-			run.unreadPromptTokens -= read
+			const processed = Math.min(promptTokensLeft, run.unreadPromptTokens)
+			promptTokensLeft -= processed
+			run.unreadPromptTokens -= processed
 			if (run.unreadPromptTokens === 0 && !run.isCancelled) run.producedTokens++
 			for (const listener of [...run.progressListeners]) listener()
 		}
--- a/packages/standins/src/lib/KvStore.ts
+++ b/packages/standins/src/lib/KvStore.ts
@@ -13,7 +13,7 @@
 	readonly respond: (result: PlatformResult) => void
 }
 
-/** Calls that a store has answered. A waiting watch counts as one. @public */
+/** Number of calls that a store has received. @public */
 export interface CallCounts {
 	reads: number
 	writes: number
@@ -23,8 +23,8 @@
 const MAX_VALUE_BYTES = 1_048_576
 
 /**
- * The platform's key-value service without a network: compare-and-swap, leases, watches. Time is
- * passed in, so that the same store serves a process and a run in virtual time.
+ * The platform's key-value store in memory: compare-and-swap, leases, watches. Callers pass the current time, so that
+ * the store also works in simulations with virtual time.
  * @public
  */
 export class KvStore {
@@ -35,41 +35,40 @@
 	private revision = 0
 	private nextLeaseId = 1
 
-	/** Carries out one call; a watch may answer later. */
-	call(op: PlatformOp, now: Millis, answer: (result: PlatformResult) => void): void {
+	/** Performs one call. A watch may call `respond` later. */
+	call(op: PlatformOp, now: Millis, respond: (result: PlatformResult) => void): void {
 		this.expire(now)
 		switch (op.kind) {
 			case 'get':
 				this.counts.reads++
-				answer(this.get(op.key))
+				respond(this.get(op.key))
 				return
 			case 'cas':
 				this.counts.writes++
-				answer(this.compareAndSwap(op))
+				respond(this.compareAndSwap(op))
 				return
 			case 'lease-create':
 			case 'lease-renew':
 			case 'lease-drop':
 				this.counts.writes++
-				answer(this.handleLeaseCall(op, now))
+				respond(this.handleLeaseCall(op, now))
 				return
 			case 'watch':
 				this.counts.watches++
-				this.watch(op, now, answer)
+				this.watch(op, now, respond)
 		}
 	}
 
-	/** Ends leases and watches whose time is up. */
+	/** Removes expired leases, and answers watches that have reached their timeout. */
 	expire(now: Millis): void {
-		for (const [lease, { expiresAt: until }] of this.leases)
-			if (until <= now) this.removeLease(lease)
+		for (const [lease, { expiresAt }] of this.leases) if (expiresAt <= now) this.removeLease(lease)
 		const due = this.watchers.filter((watcher) => watcher.deadline <= now)
 		if (due.length === 0) return
 		this.watchers = this.watchers.filter((watcher) => watcher.deadline > now)
 		for (const watcher of due) watcher.respond(this.get(watcher.key))
 	}
 
-	/** All keys with a prefix, for reports and checks. */
+	/** Returns all entries whose key starts with the prefix. */
 	list(prefix: string): { key: string; value: unknown }[] {
 		const found: { key: string; value: unknown }[] = []
 		for (const [key, entry] of this.entries)
@@ -124,16 +123,16 @@
 	private watch(
 		op: Extract<PlatformOp, { kind: 'watch' }>,
 		now: Millis,
-		answer: (result: PlatformResult) => void,
+		respond: (result: PlatformResult) => void,
 	): void {
 		const entry = this.entries.get(op.key)
-		if (entry && entry.revision > op.after) answer(this.get(op.key))
+		if (entry && entry.revision > op.after) respond(this.get(op.key))
 		else
 			this.watchers.push({
 				key: op.key,
 				afterRevision: op.after,
 				deadline: now + op.timeoutMs,
-				respond: answer,
+				respond,
 			})
 	}
 
--- a/packages/standins/src/lib/MemoryStore.ts
+++ b/packages/standins/src/lib/MemoryStore.ts
@@ -12,26 +12,26 @@
 } from '@stallwing/store'
 import * as E from 'fp-ts/lib/Either.js'
 
-/** What happens to one call. */
+/** Outcome of one call. */
 export type CallOutcome =
-	/** Done and answered. */
+	/** Performed, with a response. */
 	| 'served'
-	/** Not done; the store says so. */
+	/** Not performed; the response is an error. */
 	| 'refused'
-	/** Not done, no answer. */
+	/** Not performed, no response. */
 	| 'lost'
-	/** Done, but the answer is lost. */
+	/** Performed, but the response is lost. */
 	| 'answer-lost'
-	/** No answer; done some time later if its condition still holds. */
+	/** No response; performed after a delay, if its condition still holds by then. */
 	| 'late'
 
-/** Clock and fate of calls of a {@link MemoryStore}. @public */
+/** Clock and failure injection of a {@link MemoryStore}. @public */
 export interface MemoryStoreOptions {
-	/** Clock of the store, in ms. Leases run by it. */
+	/** Clock of the store, in ms, by which leases expire. */
 	readonly now: () => number
-	/** Decides about each call; `caller` is the name given to {@link MemoryStore.connect}. */
+	/** Returns the outcome of a call; `caller` is the name passed to {@link MemoryStore.connect}. Default: served. */
 	readonly outcomeOf?: (caller: string, call: string) => CallOutcome
-	/** Delay of a late write, in ms. */
+	/** Returns the delay of a call with outcome `late`, in ms. */
 	readonly lateWriteDelayMs?: () => number
 	readonly sleep: (ms: number) => Promise<void>
 }
@@ -47,7 +47,7 @@
 	readonly item: StoreItem<number> | undefined
 }
 
-/** What a store holds at one moment. @public */
+/** Contents of a {@link MemoryStore} at one point in time. @public */
 export interface MemoryStoreSnapshot {
 	readonly items: ReadonlyMap<string, StoredItem>
 	readonly leases: ReadonlyMap<number, number>
@@ -59,8 +59,8 @@
 const POLL_INTERVAL_MS = 20
 
 /**
- * Stand-in for the key-value service, in memory: items, conditional writes, leases, watches with a
- * bounded history, and calls that are refused, lost, answered never, or done late.
+ * In-memory stand-in for the key-value store: items, conditional writes, leases and watches, with injected failures
+ * (see {@link CallOutcome}).
  * @public
  */
 export class MemoryStore {
@@ -71,12 +71,12 @@
 	private revision = 0
 	private era = 1
 	private nextLeaseId = 1
-	/** Calls that arrived, by kind. */
+	/** Number of calls received, by kind. */
 	readonly callCounts = new Map<string, number>()
 
 	constructor(private readonly options: MemoryStoreOptions) {}
 
-	/** The store as one caller sees it, which learns of eras from the answers that it gets. */
+	/** Returns a client of the store for one caller, which tracks the era of the responses. */
 	connect(caller: string): KeyValueStore {
 		const ignore = (): void => undefined
 		return new EraTrackingStore(this.connection(caller), {
@@ -85,7 +85,7 @@
 		})
 	}
 
-	/** The calls of one caller as they go over the wire. */
+	/** Returns the calls of one caller without era tracking. */
 	connection(caller: string): StoreConnection {
 		return {
 			list: (prefix, isStale) =>
@@ -95,33 +95,33 @@
 				this.simulateCall(caller, 'write', () => this.write(key, value, expected, lease)),
 			lease: (ttlMs) => this.simulateCall(caller, 'lease', () => this.createLease(ttlMs)),
 			read: (key, isStale) =>
-				this.simulateCall(caller, isStale ? 'readStale' : 'read', () => E.right(this.item(key))),
+				this.simulateCall(caller, isStale ? 'readStale' : 'read', () => E.right(this.getItem(key))),
 			ping: () => this.simulateCall(caller, 'ping', () => E.right(undefined)),
 		}
 	}
 
-	/** Writes as an operator or a target does: at once and without a condition. */
+	/** Writes immediately and unconditionally, as operators and targets do. Returns the revision. */
 	put(key: string, value: string): number {
 		return this.storeItem(key, Buffer.from(value), 0)
 	}
 
-	/** Removes as an operator or a target does. */
+	/** Removes a key immediately and unconditionally, as operators and targets do. */
 	remove(key: string): void {
 		if (this.items.delete(key)) this.recordChange(key, undefined)
 	}
 
-	/** The value of a key, as text. */
+	/** Returns the value of a key as text; undefined if the key is absent. */
 	getText(key: string): string | undefined {
-		return this.item(key)?.value.toString('utf8')
+		return this.getItem(key)?.value.toString('utf8')
 	}
 
-	/** Forgets all history: watches from before get `history-gone`. */
+	/** Discards the history: watches from an earlier revision fail with `history-gone`. */
 	compact(): void {
 		this.history = []
 		this.compactedRevision = this.revision
 	}
 
-	/** A copy of all that the store holds, for {@link restore}. */
+	/** Returns a copy of the contents, for {@link restore}. */
 	snapshot(): MemoryStoreSnapshot {
 		return {
 			items: new Map(this.items),
@@ -131,8 +131,8 @@
 	}
 
 	/**
-	 * Comes back from a copy: what was written since is gone, leases too. Revisions go back and are given out
-	 * again, in a new era; the changes before the copy are no longer told.
+	 * Restores the contents from a snapshot in a new era. Later writes and leases are lost, their revision numbers are
+	 * assigned again, and the history before the snapshot is discarded.
 	 */
 	restore({ items, leases, revision }: MemoryStoreSnapshot): void {
 		this.items = new Map(items)
@@ -148,17 +148,17 @@
 		perform: () => E.Either<StoreFault, T>,
 	): Promise<EraResponse<T>> {
 		this.callCounts.set(name, (this.callCounts.get(name) ?? 0) + 1)
-		const fate = this.options.outcomeOf?.(caller, name) ?? 'served'
-		if (fate === 'served' || fate === 'refused') {
+		const outcome = this.options.outcomeOf?.(caller, name) ?? 'served'
+		if (outcome === 'served' || outcome === 'refused') {
 			await this.options.sleep(RESPONSE_DELAY_MS)
 			const result: E.Either<StoreFault, T> =
-				fate === 'served' ? perform() : E.left({ kind: 'refused', status: 503 })
+				outcome === 'served' ? perform() : E.left({ kind: 'refused', status: 503 })
 			return { era: this.era, result }
 		}
-		if (fate === 'answer-lost') perform()
-		if (fate === 'late') void this.performLater(perform)
+		if (outcome === 'answer-lost') perform()
+		if (outcome === 'late') void this.performLater(perform)
 		await this.options.sleep(CALL_TIMEOUT_MS)
-		return { era: undefined, result: E.left({ kind: 'no-answer', cause: fate }) }
+		return { era: undefined, result: E.left({ kind: 'no-answer', cause: outcome }) }
 	}
 
 	private async performLater(perform: () => unknown): Promise<void> {
@@ -169,8 +169,8 @@
 	private list(prefix: string): E.Either<StoreFault, StoreListing<number>> {
 		this.expireLeases()
 		const items = [...this.items.values()]
-			.map((held) => held.item)
-			.filter((getItem) => getItem.key.startsWith(prefix))
+			.map((stored) => stored.item)
+			.filter((item) => item.key.startsWith(prefix))
 		return E.right({ items, at: this.revision })
 	}
 
@@ -180,11 +180,11 @@
 		after: number,
 		waitMs: number,
 	): Promise<EraResponse<readonly StoreChange<number>[]>> {
-		const until = this.options.now() + waitMs
+		const deadline = this.options.now() + waitMs
 		for (;;) {
-			const seen = await this.simulateCall(caller, 'watch', () => this.changes(prefix, after))
-			if (E.isLeft(seen.result) || seen.result.right.length > 0) return seen
-			if (this.options.now() >= until) return seen
+			const response = await this.simulateCall(caller, 'watch', () => this.changes(prefix, after))
+			if (E.isLeft(response.result) || response.result.right.length > 0) return response
+			if (this.options.now() >= deadline) return response
 			await this.options.sleep(POLL_INTERVAL_MS)
 		}
 	}
@@ -194,8 +194,8 @@
 		after: number,
 	): E.Either<StoreFault, readonly StoreChange<number>[]> {
 		this.expireLeases()
-		const isKnown = after >= this.compactedRevision && after <= this.revision
-		if (!isKnown) return E.left({ kind: 'history-gone' })
+		const hasHistory = after >= this.compactedRevision && after <= this.revision
+		if (!hasHistory) return E.left({ kind: 'history-gone' })
 		const changes = this.history
 			.filter((change) => change.revision > after && change.key.startsWith(prefix))
 			.map((change): StoreChange<number> =>
@@ -212,7 +212,7 @@
 		expected: number,
 		lease: StoreLease | undefined,
 	): E.Either<StoreFault, WriteResult<number>> {
-		const current = this.item(key)
+		const current = this.getItem(key)
 		if ((current?.revision ?? 0) !== expected) return E.right({ kind: 'conflict', current })
 		if (lease && !this.leases.has(lease.id)) return E.left({ kind: 'refused', status: 404 })
 		return E.right({ kind: 'written', revision: this.storeItem(key, value, lease?.id ?? 0) })
@@ -224,14 +224,14 @@
 		return E.right({ id })
 	}
 
-	private item(key: string): StoreItem<number> | undefined {
+	private getItem(key: string): StoreItem<number> | undefined {
 		this.expireLeases()
 		return this.items.get(key)?.item
 	}
 
-	private storeItem(key: string, value: Buffer, lease: number): number {
+	private storeItem(key: string, value: Buffer, leaseId: number): number {
 		const item: StoreItem<number> = { key, value, revision: this.revision + 1 }
-		this.items.set(key, { item, leaseId: lease })
+		this.items.set(key, { item, leaseId })
 		this.recordChange(key, item)
 		return this.revision
 	}
@@ -243,10 +243,10 @@
 
 	private expireLeases(): void {
 		const now = this.options.now()
-		for (const [id, until] of this.leases) {
-			if (until > now) continue
+		for (const [id, expiresAt] of this.leases) {
+			if (expiresAt > now) continue
 			this.leases.delete(id)
-			for (const [key, held] of this.items) if (held.leaseId === id) this.remove(key)
+			for (const [key, stored] of this.items) if (stored.leaseId === id) this.remove(key)
 		}
 	}
 }
--- a/packages/standins/src/lib/NotifyingTarget.ts
+++ b/packages/standins/src/lib/NotifyingTarget.ts
@@ -2,42 +2,42 @@
 import type { AddressInfo } from 'node:net'
 import { readBody, sleep } from './httpHelpers.js'
 
-/** How a {@link NotifyingTarget} answers one request. @public */
+/** Response of a {@link NotifyingTarget} to one request. @public */
 export interface NotifyingResponse {
 	readonly status: number
-	/** Says that the request has not run. */
+	/** States in a header that the request was not executed. */
 	readonly notRun: boolean
-	/** Answers with a stream of events instead of one body. */
+	/** Sends an event stream instead of a single body. */
 	readonly isStream: boolean
-	/** Headers in which the target speaks of itself. */
+	/** Headers by which the target reports its own state. */
 	readonly noticeHeaders: Readonly<Record<string, string>>
 }
 
-/** What a {@link NotifyingTarget} works with. @public */
+/** Options of a {@link NotifyingTarget}. @public */
 export interface NotifyingTargetOptions {
 	readonly name: string
-	/** Names of the headers that answers carry. */
+	/** Names of the response headers. */
 	readonly headers: { readonly requestId: string; readonly mark: string; readonly notRun: string }
-	/** Time that a request takes, in ms; refusals take none. */
+	/** Processing time of a request, in ms; refused requests take none. */
 	readonly processingMs: number
-	/** Decides on the answer to a request. */
+	/** Returns the response to a request. */
 	readonly responseFor: (requestId: string) => NotifyingResponse
 }
 
-/** A request that arrived, and how it was answered. @public */
+/** A request that a {@link NotifyingTarget} received, and its response. @public */
 export interface ReceivedRequest {
 	readonly requestId: string
-	/** Steady time of its arrival, in ms. */
+	/** Arrival on the monotonic clock, in ms. */
 	readonly receivedAt: number
 	readonly response: NotifyingResponse
 }
 
 const LOOPBACK = '127.0.0.1'
-/** Time between two events of a stream, in ms: the stream is still under way when its head is read. */
+/** Interval between the events of a stream: long enough that callers read the headers before the stream ends. */
 const EVENT_INTERVAL_MS = 20
 const EVENT_COUNT = 3
 
-/** A target that says of itself in its answers what a test wants it to, and keeps what arrived. @public */
+/** A target that reports a given state in its response headers, and records the requests it receives. @public */
 export class NotifyingTarget {
 	readonly requests: ReceivedRequest[] = []
 	readonly name: string
@@ -47,22 +47,22 @@
 		this.name = options.name
 	}
 
-	/** Returns its address. */
+	/** Starts the server and returns its address. */
 	async start(): Promise<string> {
 		const { headers, name } = this.options
 		const server = createServer((message, response) => {
 			const requestId = String(message.headers[headers.requestId] ?? '')
-			const answer = this.options.responseFor(requestId)
-			this.requests.push({ requestId, receivedAt: performance.now(), response: answer })
+			const reply = this.options.responseFor(requestId)
+			this.requests.push({ requestId, receivedAt: performance.now(), response: reply })
 			response.setHeader(headers.requestId, requestId)
 			response.setHeader(headers.mark, name)
-			if (answer.notRun) response.setHeader(headers.notRun, '1')
-			for (const [header, value] of Object.entries(answer.noticeHeaders))
+			if (reply.notRun) response.setHeader(headers.notRun, '1')
+			for (const [header, value] of Object.entries(reply.noticeHeaders))
 				response.setHeader(header, value)
-			const workMs = answer.notRun ? 0 : this.options.processingMs
+			const processingMs = reply.notRun ? 0 : this.options.processingMs
 			void readBody(message)
-				.then(() => sleep(workMs))
-				.then(() => sendResponse(response, answer))
+				.then(() => sleep(processingMs))
+				.then(() => sendResponse(response, reply))
 		})
 		await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve))
 		this.server = server
@@ -75,11 +75,8 @@
 	}
 }
 
-function sendResponse(
-	response: ServerResponse,
-	{ status, isStream: stream }: NotifyingResponse,
-): void {
-	if (!stream) {
+function sendResponse(response: ServerResponse, { status, isStream }: NotifyingResponse): void {
+	if (!isStream) {
 		response.writeHead(status).end('answer')
 		return
 	}
--- a/packages/standins/src/lib/httpHelpers.ts
+++ b/packages/standins/src/lib/httpHelpers.ts
@@ -1,20 +1,20 @@
 import type { AddressInfo } from 'node:net'
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 
-/** A stand-in that runs. @public */
+/** A running stand-in. @public */
 export interface RunningStandin {
 	readonly url: string
 	close(): Promise<void>
 }
 
-/** Reads a whole body as text. */
+/** Reads the whole body as text. */
 export async function readBody(message: IncomingMessage): Promise<string> {
 	const parts: Buffer[] = []
 	for await (const part of message) parts.push(part as Buffer)
 	return Buffer.concat(parts).toString('utf8')
 }
 
-/** Answers with a JSON document. */
+/** Sends a JSON response, unless the connection is closed. */
 export function sendJson(
 	response: ServerResponse,
 	status: number,
@@ -26,7 +26,7 @@
 	response.end(JSON.stringify(body))
 }
 
-/** Starts a server on a free port of the loopback address. */
+/** Starts a server on the loopback address; port 0 stands for any free port. */
 export async function listen(
 	handler: (request: IncomingMessage, response: ServerResponse) => void,
 	port = 0,
@@ -46,7 +46,6 @@
 	return { server, running }
 }
 
-/** Waits for a time. */
 export function sleep(ms: number): Promise<void> {
 	return new Promise((resolve) => setTimeout(resolve, ms))
 }
--- a/packages/standins/src/lib/standinHeaders.ts
+++ b/packages/standins/src/lib/standinHeaders.ts
@@ -1,4 +1,4 @@
-/** Names of headers as stand-ins for callers and targets spell them, lower case. @public */
+/** Header names that the stand-ins for callers and targets use, in lower case. @public */
 export const STANDIN_HEADERS = {
 	requestId: 'request-id',
 	deadline: 'deadline-ms',
@@ -14,5 +14,5 @@
 	requestRate: 'request-rate',
 } as const
 
-/** Headers by which stand-ins speak that no program knows. @public */
+/** Pattern of further headers that belong to the platform of the stand-ins. @public */
 export const STANDIN_OWN_HEADER = /^own-/
--- a/packages/standins/src/lib/startEngine.ts
+++ b/packages/standins/src/lib/startEngine.ts
@@ -13,11 +13,11 @@
 export interface EngineOptions {
 	readonly port: number
 	readonly model: EngineModel
-	/** How far a load report lags, in ms. */
+	/** Age of the load reports, in ms. */
 	readonly reportLagMs: number
 }
 
-/** Free port, default cost model, reports half a second old. @public */
+/** Any free port, the default engine model, load reports half a second old. @public */
 export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
 	port: 0,
 	model: DEFAULT_ENGINE_MODEL,
@@ -39,7 +39,7 @@
 const MAX_RETAINED_RUNS = 10_000
 const OVERSIZED_RESPONSE_BYTES = 4_000_000
 
-/** A model engine in the usual chat-completions form, with cancel, resume and a load report. @public */
+/** Starts a model engine with a chat-completions API, cancellation and resumption of runs, and load reports. @public */
 export async function startEngine(options: Partial<EngineOptions> = {}): Promise<RunningStandin> {
 	const { port, model, reportLagMs } = { ...DEFAULT_ENGINE_OPTIONS, ...options }
 	const engine = new EngineServer(model, reportLagMs)
@@ -114,16 +114,16 @@
 		this.sendRun(run, body.stream === true, response)
 	}
 
-	private startRun(id: string, body: ChatRequest, urgent: boolean): EngineRun {
+	private startRun(id: string, body: ChatRequest, isUrgent: boolean): EngineRun {
 		const prompt = body.messages.map((message) => message.content).join('\n')
 		const promptTokens =
 			Math.ceil(prompt.length / CHARACTERS_PER_TOKEN) + body.messages.length * TOKENS_PER_MESSAGE
-		const wanted = MIN_OUTPUT_TOKENS + (prompt.length % OUTPUT_TOKENS_SPREAD)
+		const outputTokens = MIN_OUTPUT_TOKENS + (prompt.length % OUTPUT_TOKENS_SPREAD)
 		const run: EngineRun = {
 			id,
-			isUrgent: urgent,
+			isUrgent,
 			promptTokens,
-			outputTokens: Math.min(body.max_tokens ?? wanted, wanted),
+			outputTokens: Math.min(body.max_tokens ?? outputTokens, outputTokens),
 			unreadPromptTokens: promptTokens,
 			producedTokens: 0,
 			isCancelled: false,
@@ -136,34 +136,34 @@
 		return run
 	}
 
-	/** Sends the answer of a run from its first token, as it comes. */
-	private sendRun(run: EngineRun, stream: boolean, response: ServerResponse): void {
-		if (stream) response.writeHead(200, { 'content-type': 'text/event-stream' })
-		const breaks = consumeFault(this.faults, 'closeEarly')
+	/** Sends all tokens of a run: as a stream while they are produced, or as one document when the run is finished. */
+	private sendRun(run: EngineRun, isStream: boolean, response: ServerResponse): void {
+		if (isStream) response.writeHead(200, { 'content-type': 'text/event-stream' })
+		const closesEarly = consumeFault(this.faults, 'closeEarly')
 		const stalls = consumeFault(this.faults, 'stall')
 		let sent = 0
-		const push = (): void => {
-			if (breaks && run.producedTokens > run.outputTokens / 2) {
+		const sendProgress = (): void => {
+			if (closesEarly && run.producedTokens > run.outputTokens / 2) {
 				response.destroy()
-				done()
+				unsubscribe()
 				return
 			}
-			if (stream) {
+			if (isStream) {
 				for (; sent < run.producedTokens; sent++) response.write(formatTokenEvent(run, sent))
 			}
 			if (!isFinished(run) || stalls) return
-			done()
+			unsubscribe()
 			if (run.isCancelled) response.destroy()
-			else if (stream) response.end(formatFinalEvents(run))
+			else if (isStream) response.end(formatFinalEvents(run))
 			else sendJson(response, 200, toCompletion(run))
 		}
-		const done = (): void => {
-			const at = run.progressListeners.indexOf(push)
-			if (at >= 0) run.progressListeners.splice(at, 1)
+		const unsubscribe = (): void => {
+			const index = run.progressListeners.indexOf(sendProgress)
+			if (index >= 0) run.progressListeners.splice(index, 1)
 		}
-		run.progressListeners.push(push)
-		response.on('close', done)
-		push()
+		run.progressListeners.push(sendProgress)
+		response.on('close', unsubscribe)
+		sendProgress()
 	}
 
 	private controlRun(path: string, response: ServerResponse): void {
@@ -187,8 +187,8 @@
 			running: this.scheduler.runningCount(),
 			waiting: this.scheduler.queuedCount(),
 		})
-		const old = this.loadReports.filter((entry) => entry.at <= at - this.reportLagMs).at(-1)
-		const chosen = old ?? { at, running: 0, waiting: 0 }
+		const lagged = this.loadReports.filter((entry) => entry.at <= at - this.reportLagMs).at(-1)
+		const chosen = lagged ?? { at, running: 0, waiting: 0 }
 		this.loadReports = this.loadReports.filter((entry) => entry.at >= chosen.at)
 		return { ...chosen, leaving: this.faults.leaving }
 	}
@@ -209,8 +209,8 @@
 }
 
 function formatFinalEvents(run: EngineRun): string {
-	const last = { choices: [{ index: 0, delta: {}, finish_reason: 'stop' }], ...usageOf(run) }
-	return `data: ${JSON.stringify({ object: 'chat.completion.chunk', ...last })}\n\ndata: [DONE]\n\n`
+	const finalChunk = { choices: [{ index: 0, delta: {}, finish_reason: 'stop' }], ...usageOf(run) }
+	return `data: ${JSON.stringify({ object: 'chat.completion.chunk', ...finalChunk })}\n\ndata: [DONE]\n\n`
 }
 
 function toCompletion(run: EngineRun): Record<string, unknown> {
--- a/packages/standins/src/lib/startPlatform.ts
+++ b/packages/standins/src/lib/startPlatform.ts
@@ -3,20 +3,21 @@
 import { KvStore } from './KvStore.js'
 import { listen, readBody, sendJson, sleep, type RunningStandin } from './httpHelpers.js'
 
-/** Faults that a platform stand-in can be told to show. @public */
+/** Faults that a platform stand-in injects. @public */
 export interface PlatformFaults {
 	/** Delay before each call, in ms. */
 	latencyMs: number
-	/** Drop every call without an answer. */
+	/** Closes the connection of every call without a response. */
 	outage: boolean
-	/** Number of writes that take effect and are then not answered. */
+	/** Number of writes to perform without a response. */
 	loseAnswers: number
-	/** Writes and reads a second; more are refused with 429. 0 for no limit. */
+	/** Writes per second; more are refused with 429. 0 means no limit. */
 	writesPerSecond: number
+	/** Reads per second; more are refused with 429. 0 means no limit. */
 	readsPerSecond: number
 }
 
-/** One box in the platform's list. @public */
+/** A box in the platform's list of boxes. @public */
 export interface ListedBox {
 	readonly name: string
 	readonly zone: string
@@ -26,11 +27,11 @@
 /** Options of the platform stand-in. @public */
 export interface PlatformOptions {
 	readonly port: number
-	/** How long the list of boxes and targets lags, in ms. */
+	/** Delay until a change of the list of boxes is visible, in ms. */
 	readonly listLagMs: number
 }
 
-/** Free port, a list that lags by two seconds. @public */
+/** Any free port, a list of boxes that lags by two seconds. @public */
 export const DEFAULT_PLATFORM_OPTIONS: PlatformOptions = { port: 0, listLagMs: 2_000 }
 
 const NO_FAULTS: PlatformFaults = {
@@ -43,7 +44,7 @@
 const EXPIRY_INTERVAL_MS = 50
 const SECOND_MS = 1_000
 
-/** The platform's key-value service and box list over HTTP. @public */
+/** Starts the platform's key-value store and list of boxes, with an HTTP API. @public */
 export async function startPlatform(
 	options: Partial<PlatformOptions> = {},
 ): Promise<RunningStandin> {
@@ -110,7 +111,7 @@
 		})
 	}
 
-	/** Counts a call against the rates of this second. */
+	/** Counts a call; returns false if it exceeds the rate limit of the current second. */
 	private admitCall(op: PlatformOp): boolean {
 		const second = Math.floor(Date.now() / SECOND_MS)
 		if (second !== this.currentSecond) {
@@ -120,10 +121,10 @@
 		}
 		const kind = op.kind === 'get' || op.kind === 'watch' ? 'reads' : 'writes'
 		const limit = kind === 'reads' ? this.faults.readsPerSecond : this.faults.writesPerSecond
-		const admitted = limit === 0 || this.callsThisSecond[kind] < limit
-		if (admitted) this.callsThisSecond[kind]++
+		const isAdmitted = limit === 0 || this.callsThisSecond[kind] < limit
+		if (isAdmitted) this.callsThisSecond[kind]++
 		else this.refusedCalls++
-		return admitted
+		return isAdmitted
 	}
 
 	private handleControl(
@@ -156,8 +157,8 @@
 }
 
 function parseOp(url: URL, method: string, body: string): PlatformOp | undefined {
-	const [, , kind, rest = '', action] = url.pathname.split('/')
-	const name = decodeURIComponent(rest)
+	const [, , kind, encodedName = '', action] = url.pathname.split('/')
+	const name = decodeURIComponent(encodedName)
 	if (kind === 'kv' && method === 'GET') return { kind: 'get', key: name }
 	if (kind === 'kv' && method === 'POST') {
 		const write = JSON.parse(body) as { expected: number; value: unknown; lease?: string }
--- a/packages/standins/src/lib/startService.ts
+++ b/packages/standins/src/lib/startService.ts
@@ -2,12 +2,12 @@
 import { listen, readBody, sendJson, sleep, type RunningStandin } from './httpHelpers.js'
 import { NO_TARGET_FAULTS, consumeFault, type TargetFaults } from './targetFaults.js'
 
-/** Options of a plain-service stand-in. @public */
+/** Options of a service stand-in. @public */
 export interface ServiceOptions {
 	readonly port: number
 }
 
-/** A plain service that answers any path and counts the runs of each request id. @public */
+/** Starts a service that responds on any path and counts the runs per request id. @public */
 export async function startService(options: Partial<ServiceOptions> = {}): Promise<RunningStandin> {
 	const service = new ServiceServer()
 	const { running } = await listen((request, response) => {
--- a/packages/standins/src/lib/targetFaults.ts
+++ b/packages/standins/src/lib/targetFaults.ts
@@ -1,18 +1,18 @@
-/** Faults that an engine or service stand-in can be told to show. @public */
+/** Faults that an engine or service stand-in injects. @public */
 export interface TargetFaults {
-	/** Delay before the first byte, in ms. */
+	/** Delay before the first byte of each response, in ms. */
 	delayMs: number
-	/** Refuse this many requests with 503 before they run. */
+	/** Number of requests to refuse with 503 before they run. */
 	refuse: number
-	/** Break the connection in the middle of this many answers. */
+	/** Number of responses to break off by closing the connection. */
 	closeEarly: number
-	/** Never end this many answers. */
+	/** Number of responses that never end. */
 	stall: number
-	/** Answer this many requests with bytes that mean nothing. */
+	/** Number of requests to answer with a malformed body. */
 	rubbish: number
-	/** Answer this many requests with far more than was asked. */
+	/** Number of requests to answer with an oversized body. */
 	tooMuch: number
-	/** Say in the load report that the target is leaving. */
+	/** Whether load reports state that the target is leaving. */
 	leaving: boolean
 }
 
@@ -27,7 +27,7 @@
 	leaving: false,
 }
 
-/** Takes one off a counted fault; true where it is to be shown now. */
+/** Decrements the counter of a fault; returns true if the fault applies to the current request. */
 export function consumeFault(
 	faults: TargetFaults,
 	name: 'refuse' | 'closeEarly' | 'stall' | 'rubbish' | 'tooMuch',
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,4 +1,4 @@
-/** Starts one stand-in as a process: `main.js platform|engine|service [port] [options as JSON]`. */
+/** Runs one stand-in as a process: `main.js platform|engine|service [port] [options as JSON]`. */
 import { startEngine } from './lib/startEngine.js'
 import { startPlatform } from './lib/startPlatform.js'
 import { startService } from './lib/startService.js'
