--- a/packages/core/src/lib/router/logEvents.test.ts
+++ b/packages/core/src/lib/router/logEvents.test.ts
@@ -4,8 +4,8 @@
 
 const DOCS = new URL('../../../../../docs/EVENTS.md', import.meta.url)
 
-describe('the event catalogue', () => {
-	it('lists the same events as the code', () => {
+describe('log events', () => {
+	it('match docs/EVENTS.md', () => {
 		const rows = [
 			...readFileSync(DOCS, 'utf8').matchAll(/^\| (\d+) +\| `([a-z-]+)` +\| (.+?) +\|$/gm),
 		]
@@ -22,7 +22,7 @@
 		expect(documented).toEqual(inCode)
 	})
 
-	it('uses no number twice', () => {
+	it('have unique numbers', () => {
 		const numbers = Object.values(LOG_EVENTS).map((event) => event.number)
 		expect(new Set(numbers).size).toBe(numbers.length)
 	})
