--- a/packages/core/src/lib/controllers/ConfigController.ts
+++ b/packages/core/src/lib/controllers/ConfigController.ts
@@ -8,15 +8,15 @@
 
 const FETCH_RETRY_MS: Millis = 500
 
-/** Reads the version that a head value names; 0 for anything else. */
+/** Returns the version in the value of the bundle head key, or 0 if the value is invalid. */
 function headVersion(value: unknown): number {
 	const version = (value as { version?: unknown } | null)?.version
 	return typeof version === 'number' && Number.isSafeInteger(version) ? version : 0
 }
 
 /**
- * Keeps the highest bundle version in force. The keeper watches the platform, other boxes hear the
- * version in its digest. A lower version is never taken.
+ * Applies the highest known bundle version. The zone leader watches the platform; the other boxes receive the version
+ * in its digests. A lower version is never applied.
  */
 export class ConfigController {
 	private isWatching = false
@@ -28,18 +28,18 @@
 		private readonly section: ConfigSection,
 	) {}
 
-	/** Version in force; 0 for none. */
+	/** Version in force, or 0 if there is none. */
 	version(): number {
 		return this.section.index?.bundle.version ?? 0
 	}
 
-	/** Notes that somebody holds a version. Fetches it if it is newer. */
+	/** Records that a version exists, and fetches it if it is newer than the one in force. */
 	noteVersion(version: number): void {
 		this.section.highestKnownVersion = Math.max(this.section.highestKnownVersion, version)
 		this.fetchIfNewer()
 	}
 
-	/** Takes a bundle whose signatures and hashes the shell has checked. */
+	/** Applies a bundle, whose signatures and hashes must be verified. Returns false if it is not newer. */
 	apply(bundle: Bundle): boolean {
 		if (bundle.version <= this.version()) return false
 		this.section.index = new BundleIndex(bundle)
@@ -50,8 +50,8 @@
 
 	tick(): void {
 		const { roles, members } = this.context.blackboard
-		const alone = members.leader === undefined
-		if (!this.isWatching && (roles.isLeader || alone)) this.watchHead()
+		const hasNoLeader = members.leader === undefined
+		if (!this.isWatching && (roles.isLeader || hasNoLeader)) this.watchHead()
 		this.fetchIfNewer()
 	}
 
--- a/packages/core/src/lib/controllers/IdempotencyController.ts
+++ b/packages/core/src/lib/controllers/IdempotencyController.ts
@@ -31,10 +31,10 @@
 import type { PeerMessage } from '../router/PeerMessage.js'
 import type { Millis } from '../units.js'
 
-/** What the identity controller tells the rest of the core. */
+/** Callbacks of an {@link IdempotencyController}. */
 export interface IdempotencyHooks {
-	/** An incarnation is gone and this box was its witness. */
-	onSealed(copy: BoxReplica): void
+	/** Called when an incarnation has left the view and this box holds its replica. */
+	onSealed(replica: BoxReplica): void
 }
 
 interface PendingHandoffAck {
@@ -54,19 +54,19 @@
 const DEFAULT_RETENTION_MS: Millis = 900_000
 
 /**
- * Who ran what. Keeps the records of the keys of this box, the log to its witness, the copies that
- * it keeps as a witness of others, and the handing over of records when the view changes.
+ * Manages the idempotency records of the keys that this box owns, their replication to another box, the replicas that
+ * this box holds of others, and the handoff of records to their new owners when the view changes.
  */
 export class IdempotencyController {
 	readonly replicationLog: ReplicationLog
 	private readonly replicas = new Map<string, BoxReplica>()
 	private readonly losses = new Map<string, RecordLoss>()
-	/** Sources whose records have not arrived, with the box that must send them. */
+	/** Boxes whose records have not arrived yet, with the member that must send them. */
 	private readonly awaitedSources = new Map<string, Member>()
 	private readonly handoffSender: HandoffSender
-	/** Handoffs taken, to be acknowledged once the own witness has their records. */
+	/** Received handoffs, which are acknowledged once the replica of this box holds their records. */
 	private readonly pendingAcks: PendingHandoffAck[] = []
-	/** Handoffs of this box that wait for records of earlier views. */
+	/** Handoffs that this box sends once it holds all records of earlier views. */
 	private readonly pendingHandOvers: PendingHandOver[] = []
 	private appliedView = 0
 	private lastExpiryAt: Millis = 0
@@ -75,43 +75,41 @@
 		private readonly context: CoreContext,
 		private readonly section: IdempotencySection,
 		private readonly hooks: IdempotencyHooks,
-		money: Pick<ReplicationSource, 'budgets' | 'sliceRow' | 'onAcknowledged' | 'onNewerView'>,
+		slices: Pick<ReplicationSource, 'budgets' | 'sliceRow' | 'onAcknowledged' | 'onNewerView'>,
 	) {
 		this.replicationLog = new ReplicationLog(context, {
-			...money,
+			...slices,
 			records: () => this.section.records.values(),
 			losses: () => this.losses.values(),
 		})
 		this.handoffSender = new HandoffSender(context)
 	}
 
-	/** The record of a request id, if any. */
 	find(id: RequestId): IdempotencyRecord | undefined {
 		return this.section.records.get(id)
 	}
 
-	/** Writes a record and enqueues it for the witness. */
+	/** Stores a record and enqueues it for replication. */
 	write(record: IdempotencyRecord): LogPosition {
-		const known = this.section.records.get(record.id)
-		const kept = known ? laterRecord(known, record) : record
-		this.section.records.set(record.id, kept)
-		return this.replicationLog.addRecord(kept)
+		const existing = this.section.records.get(record.id)
+		const latest = existing ? laterRecord(existing, record) : record
+		this.section.records.set(record.id, latest)
+		return this.replicationLog.addRecord(latest)
 	}
 
-	/** True where a run of this id may have been forgotten. */
+	/** True if the record of a request that ran may have been lost. */
 	mayHaveLostRecord(id: RequestId): boolean {
 		const index = this.context.blackboard.config.index
 		const key = keyOf(id)
-		const parts = parseKey(key, index?.zones ?? [])
-		const skew = index?.bundle.policy.clockSkewMs ?? 0
+		const keyParts = parseKey(key, index?.zones ?? [])
+		const clockSkewMs = index?.bundle.policy.clockSkewMs ?? 0
 		for (const loss of this.losses.values()) {
 			if (rendezvousFirst(key, loss.members) !== loss.box) continue
-			if (!parts || parts.mintedAt <= loss.at + skew) return true
+			if (!keyParts || keyParts.mintedAt <= loss.at + clockSkewMs) return true
 		}
 		return false
 	}
 
-	/** True once every handed-over record was acknowledged. */
 	areHandoffsAcknowledged(): boolean {
 		return this.handoffSender.isEmpty()
 	}
@@ -122,23 +120,23 @@
 		this.expire()
 	}
 
-	/** Follows the numbered views one by one. */
+	/** Processes each view up to the new one in order, since records are handed off per view. */
 	onViewChange(before: ZoneView, after: ZoneView): void {
 		const { box, incarnation } = this.context.self
 		this.replicationLog.setView(after.number, after.members)
 		for (let number = Math.max(1, this.appliedView + 1); number <= after.number; number++) {
-			const old = lastMembersBefore(after, number)
+			const oldMembers = lastMembersBefore(after, number)
 			const members = membersAt(after, number)
 			if (!members) continue
 			this.appliedView = number
 			if (!hasIncarnation(members, box, incarnation)) continue
 			this.dropUnreachableSources(number, members)
-			this.processViewChange(number, old ?? before.members, members)
+			this.processViewChange(number, oldMembers ?? before.members, members)
 		}
 		this.updateCompleteness()
 	}
 
-	/** Takes the log of a box that this one is witness of. */
+	/** Applies a batch to the replica of another box. Rejects batches of incarnations that are no longer members. */
 	onReplicationBatch(from: BoxName, message: Extract<PeerMessage, { kind: 'log' }>): void {
 		const { batch } = message
 		const view = this.context.blackboard.members.view
@@ -151,10 +149,10 @@
 			return
 		}
 		if (!isMember || batch.view !== view.number || !sender) return
-		const witness = replicaBoxOf(view.members, batch.box)
-		if (!witness || !this.isSelf(witness)) return
-		const copy = this.getOrCreateReplica(batch.box, batch.incarnation)
-		const seq = copy.apply(batch)
+		const replicaBox = replicaBoxOf(view.members, batch.box)
+		if (!replicaBox || !this.isSelf(replicaBox)) return
+		const replica = this.getOrCreateReplica(batch.box, batch.incarnation)
+		const seq = replica.apply(batch)
 		const { incarnation } = batch
 		this.context.send(sender, { kind: 'log-ack', incarnation, view: batch.view, seq })
 	}
@@ -186,44 +184,48 @@
 		this.handoffSender.onAck(from, message.view, message.source)
 	}
 
-	/** The copy that this box holds of an incarnation, if it holds one. */
 	replica(box: BoxName, incarnation: string): BoxReplica | undefined {
 		return this.replicas.get(`${box}#${incarnation}`)
 	}
 
-	/** Drops the copy of an incarnation whose testimony is in the ledger. */
+	/** Drops the replica of an incarnation whose report is in the zone ledger. */
 	dropReplica(box: BoxName, incarnation: string): void {
 		this.replicas.delete(`${box}#${incarnation}`)
 	}
 
-	/** Acknowledges handed-over records once the own witness has them too. */
+	/** Acknowledges handoffs whose records the replica of this box holds too. */
 	private sendHandoffAcks(): void {
 		const { members } = this.context.blackboard.members.view
 		while (this.pendingAcks[0] && this.replicationLog.isDurable(this.pendingAcks[0].logPosition)) {
-			const owed = this.pendingAcks.shift()
-			const to = owed && findMember(members, owed.to)
+			const ack = this.pendingAcks.shift()
+			const to = ack && findMember(members, ack.to)
 			if (!to) continue
-			this.context.send(to, { kind: 'handoff-ack', view: owed.view, source: owed.source })
+			this.context.send(to, { kind: 'handoff-ack', view: ack.view, source: ack.source })
 		}
 	}
 
+	/**
+	 * Determines who sends the records of each old member: the member itself, or the box with its replica. Seals the
+	 * replicas that this box holds of removed members, and reports records that no member holds as lost.
+	 */
 	private processViewChange(
 		number: number,
-		old: readonly Member[],
+		oldMembers: readonly Member[],
 		members: readonly Member[],
 	): void {
 		const self = this.context.self.box
-		for (const source of old) {
+		for (const source of oldMembers) {
 			const survives = hasIncarnation(members, source.box, source.incarnation)
 			if (source.box === self && survives) continue
-			const witness = replicaBoxOf(old, source.box)
-			const sender = survives ? source : witness
-			const reachable = sender && hasIncarnation(members, sender.box, sender.incarnation)
-			if (!survives && sender && this.isSelf(sender)) this.sealReplica(number, source, old, members)
-			else if (reachable) this.awaitedSources.set(sourceKey(number, source.box), sender)
-			else this.reportLoss(number - 1, source, old)
+			const replicaBox = replicaBoxOf(oldMembers, source.box)
+			const sender = survives ? source : replicaBox
+			const isSenderMember = sender && hasIncarnation(members, sender.box, sender.incarnation)
+			if (!survives && sender && this.isSelf(sender))
+				this.sealReplica(number, source, oldMembers, members)
+			else if (isSenderMember) this.awaitedSources.set(sourceKey(number, source.box), sender)
+			else this.reportLoss(number - 1, source, oldMembers)
 		}
-		if (hasIncarnation(old, self, this.context.self.incarnation))
+		if (hasIncarnation(oldMembers, self, this.context.self.incarnation))
 			this.queueHandOver(number, self, members)
 	}
 
@@ -232,27 +234,27 @@
 		return member.box === box && member.incarnation === incarnation
 	}
 
-	/** As the witness of an incarnation that is gone: takes its records and hands them over. */
+	/** Merges the replica of a removed incarnation into the records of this box and hands them over to their new owners. */
 	private sealReplica(
 		number: number,
 		source: Member,
-		old: readonly Member[],
+		oldMembers: readonly Member[],
 		members: readonly Member[],
 	): void {
-		const copy = this.replicas.get(entryKey(source.box, source.incarnation))
-		if (!copy || copy.viewNumber !== number - 1) {
-			this.reportLoss(number - 1, source, old)
+		const replica = this.replicas.get(entryKey(source.box, source.incarnation))
+		if (!replica || replica.viewNumber !== number - 1) {
+			this.reportLoss(number - 1, source, oldMembers)
 			this.queueHandOver(number, source.box, members)
 			return
 		}
-		for (const loss of copy.losses.values()) this.addLoss(loss)
-		for (const record of copy.records.values()) this.mergeRecord(record)
+		for (const loss of replica.losses.values()) this.addLoss(loss)
+		for (const record of replica.records.values()) this.mergeRecord(record)
 		this.context.log('box-sealed', {
 			gone: source.box,
 			incarnation: source.incarnation,
-			records: copy.records.size,
+			records: replica.records.size,
 		})
-		this.hooks.onSealed(copy)
+		this.hooks.onSealed(replica)
 		this.queueHandOver(number, source.box, members)
 	}
 
@@ -261,13 +263,13 @@
 	}
 
 	/**
-	 * Sends what is due. A box that still waits for records of an earlier view must not pass for
-	 * complete, so it hands nothing over until those have arrived or are known to be lost.
+	 * Sends the handoffs that are due. The receiver takes a handoff as complete, so this box sends none until the records
+	 * of earlier views have arrived or are known to be lost.
 	 */
 	private sendPendingHandOvers(): void {
 		while (this.pendingHandOvers[0] && !this.awaitsEarlierRecords(this.pendingHandOvers[0].view)) {
-			const due = this.pendingHandOvers.shift()
-			if (due) this.sendHandOver(due)
+			const handOver = this.pendingHandOvers.shift()
+			if (handOver) this.sendHandOver(handOver)
 		}
 	}
 
@@ -281,75 +283,75 @@
 		const records = [...this.section.records.values()]
 		for (const member of members) {
 			if (member.box === this.context.self.box) continue
-			const theirs = records.filter((record) => {
+			const ownedRecords = records.filter((record) => {
 				return ownerOf(members, keyOf(record.id))?.box === member.box
 			})
-			this.handoffSender.add({ to: member, view, source, records: theirs, losses })
+			this.handoffSender.add({ to: member, view, source, records: ownedRecords, losses })
 		}
 	}
 
-	private reportLoss(view: number, source: Member, old: readonly Member[]): void {
-		const members = eligibleOwners(old)
+	private reportLoss(view: number, source: Member, oldMembers: readonly Member[]): void {
+		const members = eligibleOwners(oldMembers)
 		this.addLoss({ view, box: source.box, members, at: this.context.now })
 	}
 
 	private addLoss(loss: RecordLoss): void {
 		const key = sourceKey(loss.view, loss.box)
-		const known = this.losses.get(key)
-		if (known && known.at >= loss.at) return
+		const existing = this.losses.get(key)
+		if (existing && existing.at >= loss.at) return
 		this.losses.set(key, loss)
 		this.replicationLog.addLoss(loss)
-		if (!known) this.context.log('records-lost', { lost: loss.box, view: loss.view })
+		if (!existing) this.context.log('records-lost', { lost: loss.box, view: loss.view })
 	}
 
-	/** A sender that is gone before its handoff arrived takes the records with it. */
+	/** Reports the records of senders that left the view before their handoff arrived as lost. */
 	private dropUnreachableSources(number: number, members: readonly Member[]): void {
 		for (const [key, sender] of this.awaitedSources) {
 			if (hasIncarnation(members, sender.box, sender.incarnation)) continue
 			this.awaitedSources.delete(key)
 			const { view, box } = parseSourceKey(key)
-			const old = membersAt(this.context.blackboard.members.view, view - 1)
-			const source = old?.find((member) => member.box === box)
-			if (old && source) this.reportLoss(view - 1, source, old)
+			const oldMembers = membersAt(this.context.blackboard.members.view, view - 1)
+			const source = oldMembers?.find((member) => member.box === box)
+			if (oldMembers && source) this.reportLoss(view - 1, source, oldMembers)
 		}
 		this.handoffSender.dropNonMembers(members, number)
 	}
 
 	private mergeRecord(record: IdempotencyRecord): void {
-		const known = this.section.records.get(record.id)
-		const kept = known ? laterRecord(known, record) : record
-		if (kept === known) return
-		this.section.records.set(record.id, kept)
-		this.replicationLog.addRecord(kept)
+		const existing = this.section.records.get(record.id)
+		const latest = existing ? laterRecord(existing, record) : record
+		if (latest === existing) return
+		this.section.records.set(record.id, latest)
+		this.replicationLog.addRecord(latest)
 	}
 
 	private getOrCreateReplica(box: BoxName, incarnation: BoxReplica['incarnation']): BoxReplica {
 		const key = entryKey(box, incarnation)
-		let copy = this.replicas.get(key)
-		if (!copy) {
-			copy = new BoxReplica(box, incarnation)
-			this.replicas.set(key, copy)
+		let replica = this.replicas.get(key)
+		if (!replica) {
+			replica = new BoxReplica(box, incarnation)
+			this.replicas.set(key, replica)
 		}
-		return copy
+		return replica
 	}
 
 	private updateCompleteness(): void {
 		this.sendPendingHandOvers()
-		const settled = this.appliedView > 0 && this.awaitedSources.size === 0
-		if (settled && !this.section.hasAllRecords)
+		const hasAllRecords = this.appliedView > 0 && this.awaitedSources.size === 0
+		if (hasAllRecords && !this.section.hasAllRecords)
 			this.context.log('handoff-done', { view: this.appliedView })
-		this.section.hasAllRecords = settled
+		this.section.hasAllRecords = hasAllRecords
 	}
 
 	private expire(): void {
 		if (this.context.now - this.lastExpiryAt < EXPIRY_PERIOD_MS) return
 		this.lastExpiryAt = this.context.now
 		const policy = this.context.blackboard.config.index?.bundle.policy
-		const before = this.context.now - (policy?.retentionMs ?? DEFAULT_RETENTION_MS)
+		const expiredBefore = this.context.now - (policy?.retentionMs ?? DEFAULT_RETENTION_MS)
 		const { records } = this.section
-		for (const [id, record] of records) if (record.at < before) records.delete(id)
-		for (const copy of this.replicas.values()) copy.expire(before)
-		for (const [key, loss] of this.losses) if (loss.at < before) this.losses.delete(key)
+		for (const [id, record] of records) if (record.at < expiredBefore) records.delete(id)
+		for (const replica of this.replicas.values()) replica.expire(expiredBefore)
+		for (const [key, loss] of this.losses) if (loss.at < expiredBefore) this.losses.delete(key)
 	}
 }
 
@@ -358,6 +360,6 @@
 }
 
 function parseSourceKey(key: string): { view: number; box: BoxName } {
-	const at = key.indexOf('/')
-	return { view: Number(key.slice(0, at)), box: key.slice(at + 1) as BoxName }
+	const separator = key.indexOf('/')
+	return { view: Number(key.slice(0, separator)), box: key.slice(separator + 1) as BoxName }
 }
--- a/packages/core/src/lib/controllers/MembershipController.ts
+++ b/packages/core/src/lib/controllers/MembershipController.ts
@@ -13,15 +13,15 @@
 	receivedAt: Millis
 	isDrained: boolean
 	viewNumber: number
-	/** Change number of the other zones' rows that it was last sent. */
+	/** Version of the views of other zones that the box was last sent. */
 	sentZonesVersion: number
 }
 
-/** What the membership controller tells the rest of the core. */
+/** Callbacks of a {@link MembershipController}. */
 export interface MembershipHooks {
 	onViewChange(before: ZoneView, after: ZoneView): void
 	onFenced(): void
-	onLeaderChange(gained: boolean): void
+	onLeaderChange(isLeader: boolean): void
 	bundleVersion(): number
 	noteBundleVersion(version: number): void
 	isDrained(): boolean
@@ -31,15 +31,14 @@
 const LEASE_RENEWALS_PER_TTL = 2
 
 /**
- * Heartbeats, the lease of the keeper and the numbered view of the zone.
- * The lease only saves platform calls: everything that a keeper writes is a compare-and-swap of
- * values that are right whoever writes them, so a paused keeper does no harm.
+ * Manages the membership of the zone: heartbeats, leader election by a lease and the numbered view. Safety does not
+ * depend on the lease: a leader writes only by compare-and-swap, so a paused leader cannot overwrite newer values.
  */
 export class MembershipController {
 	private readonly heartbeats = new Map<BoxName, ReceivedHeartbeat>()
 	private viewRevision = 0
 	private isViewLoaded = false
-	private pendingCalls = { view: false, keeper: false, renew: false, zones: false }
+	private pendingCalls = { view: false, leader: false, renew: false, zones: false }
 	private leaseId: string | undefined
 	private lastHeartbeatAt: Millis = -Infinity
 	private lastRenewalAt: Millis = 0
@@ -60,7 +59,7 @@
 		private readonly hooks: MembershipHooks,
 	) {}
 
-	/** This box as a member. */
+	/** Returns this box as a member. */
 	ownMember(): Member {
 		const { box, incarnation, address } = this.context.self
 		return { box, incarnation, address, leaving: this.section.isStopping }
@@ -72,21 +71,21 @@
 		this.lastHeartbeatAt = -Infinity
 	}
 
-	/** Tells the zone at the next tick, not at the next heartbeat, what is new here. */
+	/** Makes the next tick send a heartbeat. */
 	scheduleHeartbeat(): void {
 		this.lastHeartbeatAt = -Infinity
 	}
 
-	/** Gives the lease up, so that another box takes over at once. */
+	/** Drops the lease of the leader, so that another box can take over immediately. */
 	resign(): void {
 		if (!this.leaseId) return
 		this.isResigning = true
-		for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
+		for (const heartbeat of this.heartbeats.values()) this.sendDigest(heartbeat)
 		this.context.callPlatform({ kind: 'lease-drop', lease: this.leaseId }, () => undefined)
 		this.stepDown()
 	}
 
-	/** True where another member is not leaving: it is the one to be keeper. */
+	/** True if another member is not leaving and can become the leader. */
 	hasStayingPeer(): boolean {
 		const { box } = this.context.self
 		return this.section.view.members.some((member) => member.box !== box && !member.leaving)
@@ -94,17 +93,17 @@
 
 	tick(): void {
 		const { timing } = this.context.self
-		const paused = this.context.now - this.lastTickAt > timing.memberTimeoutMs / 2
+		const wasPaused = this.context.now - this.lastTickAt > timing.memberTimeoutMs / 2
 		this.lastTickAt = this.context.now
-		// After a pause the heartbeats of the others are still unread: give them time.
-		if (paused) this.leaderSince = this.context.now
+		// After a pause, the heartbeats of other boxes have not been processed yet. Restart their timeout.
+		if (wasPaused) this.leaderSince = this.context.now
 		if (!this.isViewLoaded) this.readView()
 		if (this.context.now - this.lastHeartbeatAt >= timing.heartbeatPeriodMs) this.sendHeartbeat()
 		if (this.roles.isLeader) this.runLeaderDuties()
 		else if (this.isLeaderSilent()) this.queryLeader()
 	}
 
-	/** Counts platform answers, to know whether it can be reached. */
+	/** Counts consecutive failures to determine whether the platform is reachable. */
 	notePlatformResult(result: PlatformResult): void {
 		if (result.kind === 'no-answer') {
 			this.consecutivePlatformFailures++
@@ -117,29 +116,29 @@
 
 	onHeartbeat(message: Extract<PeerMessage, { kind: 'heartbeat' }>): void {
 		const { member, drained, bundleVersion, view } = message
-		const known = this.heartbeats.get(member.box)
-		if (known && member.incarnation < known.member.incarnation) return
-		const same = known?.member.incarnation === member.incarnation
-		const zonesSent = same ? known.sentZonesVersion : -1
-		const pulse = {
+		const previous = this.heartbeats.get(member.box)
+		if (previous && member.incarnation < previous.member.incarnation) return
+		const isSameIncarnation = previous?.member.incarnation === member.incarnation
+		const sentZonesVersion = isSameIncarnation ? previous.sentZonesVersion : -1
+		const heartbeat = {
 			member,
 			receivedAt: this.context.now,
 			isDrained: drained,
 			viewNumber: view,
-			sentZonesVersion: zonesSent,
+			sentZonesVersion,
 		}
-		this.heartbeats.set(member.box, pulse)
+		this.heartbeats.set(member.box, heartbeat)
 		this.hooks.noteBundleVersion(bundleVersion)
-		const behind = view < this.section.view.number
-		if (this.roles.isLeader && (!same || behind)) this.sendDigest(pulse)
+		const isOutdated = view < this.section.view.number
+		if (this.roles.isLeader && (!isSameIncarnation || isOutdated)) this.sendDigest(heartbeat)
 	}
 
-	/** Load reports that this box collected, for the next digest. */
+	/** Adds load reports, which the next digest contains. */
 	addLoadReports(reports: readonly LoadReport[]): void {
 		for (const report of reports) this.pendingLoadReports.set(report.target, report)
 	}
 
-	/** Targets that the platform's list calls leaving, for the digests. */
+	/** Sets the targets that are leaving according to the list on the platform, for the digests. */
 	setLeavingTargets(targets: readonly TargetName[]): void {
 		this.leavingTargets = targets
 	}
@@ -156,7 +155,7 @@
 		if (message.view) this.applyView(message.view)
 	}
 
-	/** Takes a view if it is newer than the one held. */
+	/** Applies a view if it is newer than the current one. */
 	applyView(view: ZoneView): void {
 		const before = this.section.view
 		if (view.number <= before.number) return
@@ -178,16 +177,16 @@
 		return this.context.now - this.section.leaderSeenAt > this.context.self.timing.leaderTimeoutMs
 	}
 
-	/** A stopping box leaves the role to those that stay, unless none of them takes it. */
+	/** False for a stopping box, unless no staying box has become the leader within the lease time. */
 	private canBecomeLeader(): boolean {
-		const silence = this.context.now - this.section.leaderSeenAt
-		const nobody = silence > this.context.self.timing.leaderLeaseMs
-		return !this.section.isStopping || !this.hasStayingPeer() || nobody
+		const silentMs = this.context.now - this.section.leaderSeenAt
+		const hasNoLeader = silentMs > this.context.self.timing.leaderLeaseMs
+		return !this.section.isStopping || !this.hasStayingPeer() || hasNoLeader
 	}
 
 	private sendHeartbeat(): void {
 		this.lastHeartbeatAt = this.context.now
-		const heartbeat: PeerMessage = {
+		const message: PeerMessage = {
 			kind: 'heartbeat',
 			member: this.ownMember(),
 			view: this.section.view.number,
@@ -195,31 +194,31 @@
 			drained: this.section.isStopping && this.hooks.isDrained(),
 		}
 		if (this.roles.isLeader) {
-			this.onHeartbeat(heartbeat)
+			this.onHeartbeat(message)
 			this.section.leaderSeenAt = this.context.now
-			for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
+			for (const heartbeat of this.heartbeats.values()) this.sendDigest(heartbeat)
 			this.pendingLoadReports.clear()
 			return
 		}
-		if (this.section.leader) this.context.send(this.section.leader, heartbeat)
+		if (this.section.leader) this.context.send(this.section.leader, message)
 	}
 
-	private sendDigest(pulse: ReceivedHeartbeat): void {
-		const { member } = pulse
+	private sendDigest(heartbeat: ReceivedHeartbeat): void {
+		const { member } = heartbeat
 		if (member.box === this.context.self.box) return
-		const { view, term, isPlatformUp: platformUp, zones } = this.section
-		const behind = pulse.viewNumber < view.number
-		const zonesDue = pulse.sentZonesVersion < this.zonesVersion
-		pulse.sentZonesVersion = this.zonesVersion
+		const { view, term, isPlatformUp, zones } = this.section
+		const isOutdated = heartbeat.viewNumber < view.number
+		const areZonesDue = heartbeat.sentZonesVersion < this.zonesVersion
+		heartbeat.sentZonesVersion = this.zonesVersion
 		this.context.send(member, {
 			kind: 'digest',
-			...(behind ? { view } : {}),
+			...(isOutdated ? { view } : {}),
 			keeper: this.ownMember(),
 			term,
 			resigned: this.isResigning,
-			platformUp,
+			platformUp: isPlatformUp,
 			bundleVersion: this.hooks.bundleVersion(),
-			zones: zonesDue ? [...zones.values()] : [],
+			zones: areZonesDue ? [...zones.values()] : [],
 			reports: [...this.pendingLoadReports.values()],
 			leavingTargets: this.leavingTargets,
 		})
@@ -244,42 +243,42 @@
 	private queryLeader(): void {
 		const { timing, zone } = this.context.self
 		if (
-			this.pendingCalls.keeper ||
+			this.pendingCalls.leader ||
 			this.context.now - this.lastLeaderQueryAt < timing.heartbeatPeriodMs
 		)
 			return
 		this.lastLeaderQueryAt = this.context.now
-		this.pendingCalls.keeper = true
+		this.pendingCalls.leader = true
 		this.context.callPlatform({ kind: 'get', key: zoneKeys.keeper(zone) }, (result) => {
-			this.pendingCalls.keeper = false
+			this.pendingCalls.leader = false
 			if (result.kind === 'value') this.followLeader(result.value as Member, result.revision)
 			if (result.kind === 'absent' && this.canBecomeLeader()) this.createLease()
 		})
 	}
 
-	private followLeader(keeper: Member, term: number): void {
-		const mine = keeper.box === this.context.self.box
-		if (mine || term < this.section.term) return
-		this.section.leader = keeper
+	private followLeader(leader: Member, term: number): void {
+		const isSelf = leader.box === this.context.self.box
+		if (isSelf || term < this.section.term) return
+		this.section.leader = leader
 		this.section.term = term
 		this.lastHeartbeatAt = -Infinity
 	}
 
 	private createLease(): void {
-		this.pendingCalls.keeper = true
+		this.pendingCalls.leader = true
 		const ttlMs = this.context.self.timing.leaderLeaseMs
 		this.context.callPlatform({ kind: 'lease-create', ttlMs }, (result) => {
-			this.pendingCalls.keeper = false
+			this.pendingCalls.leader = false
 			if (result.kind === 'lease') this.claimLeadership(result.lease)
 		})
 	}
 
 	private claimLeadership(lease: string): void {
-		this.pendingCalls.keeper = true
+		this.pendingCalls.leader = true
 		const key = zoneKeys.keeper(this.context.self.zone)
 		const op = { kind: 'cas', key, expected: 0, value: this.ownMember(), lease } as const
 		this.context.callPlatform(op, (result) => {
-			this.pendingCalls.keeper = false
+			this.pendingCalls.leader = false
 			if (result.kind === 'written') this.becomeLeader(lease, result.revision)
 		})
 	}
@@ -334,12 +333,12 @@
 		})
 	}
 
-	/** Writes the next view once the boxes that are alive differ from the members. */
+	/** Writes a new view if the live boxes differ from the members. */
 	private updateView(): void {
 		const { timing } = this.context.self
-		const settled = this.context.now - this.leaderSince >= timing.memberTimeoutMs
-		const first = this.section.view.number === 0
-		if (!this.isViewLoaded || this.pendingCalls.view || (!settled && !first)) return
+		const hasWaited = this.context.now - this.leaderSince >= timing.memberTimeoutMs
+		const isFirstView = this.section.view.number === 0
+		if (!this.isViewLoaded || this.pendingCalls.view || (!hasWaited && !isFirstView)) return
 		const members = this.liveMembers()
 		if (areMembersEqual(members, this.section.view.members)) return
 		this.writeView(nextView(this.section.view, members))
@@ -347,10 +346,12 @@
 
 	private liveMembers(): Member[] {
 		const members: Member[] = []
-		for (const pulse of this.heartbeats.values()) {
-			const silent = this.context.now - pulse.receivedAt > this.context.self.timing.memberTimeoutMs
-			if (!silent && !pulse.isDrained && !this.isRetired(pulse.member)) members.push(pulse.member)
-			if (silent) this.heartbeats.delete(pulse.member.box)
+		for (const heartbeat of this.heartbeats.values()) {
+			const isSilent =
+				this.context.now - heartbeat.receivedAt > this.context.self.timing.memberTimeoutMs
+			if (!isSilent && !heartbeat.isDrained && !this.isRetired(heartbeat.member))
+				members.push(heartbeat.member)
+			if (isSilent) this.heartbeats.delete(heartbeat.member.box)
 		}
 		return members.sort((a, b) => (a.box < b.box ? -1 : 1))
 	}
@@ -371,15 +372,15 @@
 			}
 			this.viewRevision = result.revision
 			this.applyView(view)
-			for (const pulse of this.heartbeats.values()) this.sendDigest(pulse)
+			for (const heartbeat of this.heartbeats.values()) this.sendDigest(heartbeat)
 		})
 	}
 
 	private readOtherZones(): void {
 		const index = this.context.blackboard.config.index
-		const due =
+		const isDue =
 			this.context.now - this.lastZonesReadAt >= this.context.self.timing.zoneViewsPeriodMs
-		if (!index || !due) return
+		if (!index || !isDue) return
 		this.lastZonesReadAt = this.context.now
 		for (const zone of index.zones) {
 			if (zone === this.context.self.zone) continue
@@ -392,16 +393,16 @@
 	}
 
 	private updateZone(row: ZoneMembers): void {
-		const known = this.section.zones.get(row.zone)
-		if (known && row.view <= known.view) return
+		const current = this.section.zones.get(row.zone)
+		if (current && row.view <= current.view) return
 		this.section.zones.set(row.zone, row)
 		this.zonesVersion++
 	}
 
-	private setPlatformUp(up: boolean): void {
-		if (this.section.isPlatformUp === up) return
-		this.section.isPlatformUp = up
-		this.context.log(up ? 'platform-back' : 'platform-lost', { keeper: this.roles.isLeader })
+	private setPlatformUp(isUp: boolean): void {
+		if (this.section.isPlatformUp === isUp) return
+		this.section.isPlatformUp = isUp
+		this.context.log(isUp ? 'platform-back' : 'platform-lost', { keeper: this.roles.isLeader })
 	}
 }
 
--- a/packages/core/src/lib/controllers/RequestController.ts
+++ b/packages/core/src/lib/controllers/RequestController.ts
@@ -25,22 +25,22 @@
 const KEY_RANDOM_LENGTH = 12
 const RETRY_AFTER_MS: Millis = SECOND_MS
 
-/** Where a request shall be served. */
+/** Box that serves a request: this one, another one, or none. */
 type ServingBox =
 	| { readonly kind: 'here' }
 	| { readonly kind: 'there'; readonly member: Member }
 	| { readonly kind: 'nowhere'; readonly refusal: Refusal }
 
 /**
- * Requests from their arrival to their end: who owns the key, whether it is a second try, and the
- * run itself, which {@link RunAdmission} and {@link RunFinisher} take step by step.
+ * Handles the requests of callers: finds the box that owns the key, joins repeated requests to their run, and creates
+ * runs, which {@link RunAdmission} and {@link RunFinisher} process.
  */
 export class RequestController {
 	private readonly context: CoreContext
 	private readonly store: RunStore
 	private readonly admission: RunAdmission
 	private readonly finisher: RunFinisher
-	/** Requests that wait until it is settled which box has which records. */
+	/** Requests that wait until this box holds the records of its keys. */
 	private deferred: CallerRequest[] = []
 
 	constructor(private readonly dependencies: RunDependencies) {
@@ -50,7 +50,7 @@
 		this.finisher = new RunFinisher(dependencies, this.admission)
 	}
 
-	/** Runs what can go on after any event. */
+	/** Advances requests and runs as far as possible. Called after each event. */
 	afterEvent(): void {
 		this.retryDeferred()
 		this.admission.advanceAll()
@@ -62,8 +62,8 @@
 	}
 
 	/**
-	 * A new view may give a key to another box, which knows nothing of a run that is not claimed
-	 * yet: such runs are taken back and placed anew once all records have arrived.
+	 * Withdraws runs that are not claimed yet and routes their requests again once all records have arrived, since another
+	 * box may own their keys in the new view.
 	 */
 	onViewChange(): void {
 		for (const run of [...this.store.runs()]) {
@@ -73,12 +73,13 @@
 		}
 	}
 
-	/** True where no request of this box is under way. */
+	/** True if this box has no unfinished requests. */
 	isIdle(): boolean {
 		for (const run of this.store.runs()) if (run.stage !== 'done') return false
 		return this.deferred.length === 0
 	}
 
+	/** Refuses all unfinished requests, since this incarnation is fenced. */
 	refuseAll(): void {
 		for (const request of this.deferred)
 			this.refuse(request, notRun('box-fenced', 'this box was fenced off', RETRY_AFTER_MS))
@@ -131,7 +132,7 @@
 
 	private routeRequest(request: CallerRequest, priced: PricedRequest): void {
 		const account = priced.account.name
-		const minted = request.idempotencyKey === undefined
+		const hasMintedKey = request.idempotencyKey === undefined
 		const key = request.idempotencyKey ?? this.mintOwnedKey()
 		const id = requestId(account, key)
 		if (this.joinRun(request, id)) return
@@ -139,29 +140,29 @@
 			this.deferred.push(request)
 			return
 		}
-		const place = this.findServingBox(id, key, priced)
-		if (place.kind === 'nowhere') this.refuse(request, place.refusal, id)
-		else if (place.kind === 'there') this.relay(request, place.member, id, account, key)
-		else this.serveLocally(minted ? { ...request, hasMintedKey: minted } : request, priced, id)
+		const servingBox = this.findServingBox(id, key, priced)
+		if (servingBox.kind === 'nowhere') this.refuse(request, servingBox.refusal, id)
+		else if (servingBox.kind === 'there') this.relay(request, servingBox.member, id, account, key)
+		else this.serveLocally(hasMintedKey ? { ...request, hasMintedKey } : request, priced, id)
 	}
 
-	/** True while records of keys of this zone may still be on their way to this box. */
+	/** True while this box may not have received the record of the key yet. */
 	private awaitsRecords(key: string, priced: PricedRequest): boolean {
-		const { blackboard: board, self } = this.context
-		return this.homeZoneOf(key, priced) === self.zone && !isServingMember(board, self)
+		const { blackboard, self } = this.context
+		return this.homeZoneOf(key, priced) === self.zone && !isServingMember(blackboard, self)
 	}
 
 	private retryDeferred(): void {
-		const parked = this.deferred
-		if (parked.length === 0) return
+		const requests = this.deferred
+		if (requests.length === 0) return
 		this.deferred = []
-		for (const request of parked) {
+		for (const request of requests) {
 			if (this.context.now < request.deadline) this.onRequest(request)
 			else this.refuse(request, notRun('not-ready', 'the zone changes its members', RETRY_AFTER_MS))
 		}
 	}
 
-	/** A key that this box owns itself, so that no other box need hear of it. */
+	/** Creates a key that this box owns, so that the request is not relayed. */
 	private mintOwnedKey(): string {
 		const { box, zone } = this.context.self
 		const { members } = this.context.blackboard.members.view
@@ -173,7 +174,7 @@
 		return key
 	}
 
-	/** Joins a second try to a run of this box. False where it has none. */
+	/** Joins a repeated request to the run of its id. Returns false if this box has no such run. */
 	private joinRun(request: CallerRequest, id: RequestId): boolean {
 		const run = this.store.get(id)
 		if (!run) return false
@@ -191,28 +192,30 @@
 
 	private findServingBox(id: RequestId, key: string, priced: PricedRequest): ServingBox {
 		const { zone, box } = this.context.self
-		const home = this.homeZoneOf(key, priced)
+		const homeZone = this.homeZoneOf(key, priced)
 		const { view, zones } = this.context.blackboard.members
-		const members = home === zone ? view.members : (zones.get(home)?.members ?? [])
-		if (home === zone) {
+		const members = homeZone === zone ? view.members : (zones.get(homeZone)?.members ?? [])
+		if (homeZone === zone) {
 			const record = this.dependencies.idempotency.find(id)
 			if (record) return this.servingBoxOfRecord(record, members)
 		}
 		const owner = ownerOf(members, key)
 		if (!owner) {
-			const text = `home zone ${home} of the key cannot be reached`
+			const text = `home zone ${homeZone} of the key cannot be reached`
 			return { kind: 'nowhere', refusal: notRun('owner-unreachable', text, RETRY_AFTER_MS) }
 		}
-		return owner.box === box && home === zone ? { kind: 'here' } : { kind: 'there', member: owner }
+		return owner.box === box && homeZone === zone
+			? { kind: 'here' }
+			: { kind: 'there', member: owner }
 	}
 
-	/** The box that ran it has the answer, as long as it lives. */
+	/** The box that ran the request if it is still a member, since it has the answer; otherwise the owner of the key. */
 	private servingBoxOfRecord(record: IdempotencyRecord, members: readonly Member[]): ServingBox {
 		const { box } = this.context.self
-		const lives = hasIncarnation(members, record.box, record.incarnation)
+		const isMember = hasIncarnation(members, record.box, record.incarnation)
 		const member = findMember(members, record.box)
-		// A void record holds nothing: the next turn is the present owner's.
-		if (lives && member && record.state !== 'void')
+		// The box of a void record has no answer, so the owner of the key makes the next claim.
+		if (isMember && member && record.state !== 'void')
 			return record.box === box ? { kind: 'here' } : { kind: 'there', member }
 		const owner = ownerOf(members, keyOf(record.id))
 		if (!owner || owner.box === box) return { kind: 'here' }
@@ -222,11 +225,11 @@
 	private homeZoneOf(key: string, priced: PricedRequest): ZoneName {
 		const index = this.context.blackboard.config.index
 		const zones = index?.zones ?? []
-		const parts = parseKey(key, zones)
-		if (parts) return parts.zone
+		const keyParts = parseKey(key, zones)
+		if (keyParts) return keyParts.zone
 		const { homeZones } = priced.account
-		const homes = homeZones.length > 0 ? homeZones : zones
-		return rendezvousFirst(key, homes) ?? this.context.self.zone
+		const candidates = homeZones.length > 0 ? homeZones : zones
+		return rendezvousFirst(key, candidates) ?? this.context.self.zone
 	}
 
 	private relay(
@@ -247,29 +250,30 @@
 		this.context.log('request-relayed', { request: id, to: box })
 	}
 
+	/** Creates a run, or refuses a request that may have run before and must not be repeated. */
 	private serveLocally(request: CallerRequest, priced: PricedRequest, id: RequestId): void {
 		const record = this.dependencies.idempotency.find(id)
 		if (record && record.bodyHash !== request.bodyHash) {
 			this.refuse(request, notRun('key-reused', 'the key was used with another body'), id)
 			return
 		}
-		const forgotten =
+		const mayHaveLostRecord =
 			this.dependencies.protections.forgotten && this.dependencies.idempotency.mayHaveLostRecord(id)
-		if (!record && forgotten) {
+		if (!record && mayHaveLostRecord) {
 			const text = 'an earlier try of this key may have run; its record was lost'
 			this.refuse(request, maybeRun('outcome-unknown', text), id)
 			return
 		}
-		const resumeAt = this.findResumeTarget(record)
-		if (record && !record.repeatable && mayHaveRun(record) && !resumeAt) {
+		const resumeTarget = this.findResumeTarget(record)
+		if (record && !record.repeatable && mayHaveRun(record) && !resumeTarget) {
 			const text = 'an earlier try may have run, and may not be repeated'
 			this.refuse(request, maybeRun('outcome-unknown', text), id)
 			return
 		}
-		this.createRun(request, priced, id, record, resumeAt)
+		this.createRun(request, priced, id, record, resumeTarget)
 	}
 
-	/** The engine that may still have the answer of an earlier run. */
+	/** Returns the engine that may still have the answer of an earlier run. */
 	private findResumeTarget(record: IdempotencyRecord | undefined): TargetName | undefined {
 		if (!record || record.state === 'void' || record.target === undefined) return undefined
 		const state = this.context.blackboard.targets.states.get(record.target)
@@ -281,9 +285,9 @@
 		priced: PricedRequest,
 		id: RequestId,
 		record: IdempotencyRecord | undefined,
-		resumeAt: TargetName | undefined,
+		resumeTarget: TargetName | undefined,
 	): void {
-		const ranBefore = mayHaveRun(record)
+		const mayHaveRunEarlier = mayHaveRun(record)
 		const run: Run = {
 			id,
 			account: priced.account.name,
@@ -306,11 +310,11 @@
 			logPosition: 0,
 			attempt: 0,
 			target: undefined,
-			resumeTarget: resumeAt,
+			resumeTarget,
 			turn: (record?.turn ?? 0) + 1,
 			previouslyBilled: record?.amount ?? 0,
-			mayHaveRun: ranBefore,
-			mayHaveRunEarlier: ranBefore,
+			mayHaveRun: mayHaveRunEarlier,
+			mayHaveRunEarlier,
 			charge: 0,
 			endedAt: 0,
 			waitingFor: undefined,
--- a/packages/core/src/lib/controllers/SliceController.ts
+++ b/packages/core/src/lib/controllers/SliceController.ts
@@ -12,15 +12,15 @@
 import type { GrantRequestRow, GrantRow, PeerMessage, RecallRow } from '../router/PeerMessage.js'
 import { SECOND_MS, type Amount, type Millis } from '../units.js'
 
-/** Switches for experiments and for showing that tests catch a missing protection. @public */
+/** Protections that a test or an experiment can switch off. @public */
 export interface SliceProtections {
-	/** Draw only up to the watermark that the witness has acknowledged. */
+	/** Draw only up to the watermark that the replica has acknowledged. */
 	readonly watermark: boolean
-	/** Move money between boxes of the zone directly. */
+	/** Transfer tokens directly between boxes of the zone. */
 	readonly transfers: boolean
-	/** Give idle money back when the keeper asks for it. */
+	/** Return idle tokens when the zone leader recalls them. */
 	readonly recall: boolean
-	/** Report only bills that the witness has acknowledged. */
+	/** Report only bills that the replica has acknowledged. */
 	readonly witnessedBills: boolean
 }
 
@@ -28,13 +28,13 @@
 const DEMAND_PERIOD_MS: Millis = SECOND_MS
 const EXHAUSTED_TTL_MS: Millis = SECOND_MS
 const MIN_REQUEST_INTERVAL_MS: Millis = 200
-/** An ask for the horizon that was not met is not repeated sooner. */
+/** Minimum time between two requests for more tokens than waiting requests need, in ms. */
 const MIN_REFILL_INTERVAL_MS: Millis = 2 * SECOND_MS
-/** A slice below this share of its horizon is filled up. */
+/** A slice is refilled when it holds less than this fraction of its target size. */
 const LOW_FRACTION = 0.5
-/** Requests of the same size that a watermark covers beyond the one that asks. */
+/** A watermark is raised by at least this many times the charge of the request that needs it. */
 const WATERMARK_REQUESTS_AHEAD = 3
-/** A donor keeps what it needs itself for so long. */
+/** Period of its own demand that a box keeps when it returns or transfers tokens, in ms. */
 const DONOR_RESERVE_MS: Millis = SECOND_MS
 
 interface Shortage {
@@ -50,21 +50,24 @@
 	readonly logPosition: LogPosition
 }
 
-/** This box's slices: reserving and billing, asking the keeper, moving money to neighbours. */
+/**
+ * Manages the slices of the budgets that this box holds: reservations and bills, grants from the zone leader, and
+ * transfers between boxes.
+ */
 export class SliceController {
 	private readonly shortages = new Map<BudgetName, Shortage>()
 	private readonly transferRequester: TransferRequester
 	private readonly exhaustedUntil = new Map<BudgetName, Millis>()
-	/** Bills that the witness knows of: only these may go into the zone ledger. */
+	/** Billed amounts that the replica has acknowledged. Only these may enter the zone ledger. */
 	private readonly replicatedBilled = new Map<BudgetName, Amount>()
-	/** Reservations of requests that may have started. */
+	/** Sum of the reservations of requests that may have started. */
 	private readonly committed = new Map<BudgetName, Amount>()
 	private readonly drawnSinceMeasured = new Map<BudgetName, Amount>()
 	private readonly modifiedBudgets = new Set<BudgetName>()
 	private readonly pendingTransfers: PendingTransfer[] = []
-	/** What the zone ledger has noted of this box. */
+	/** Counters of this box in the zone ledger. */
 	private readonly ledgerRows = new Map<BudgetName, GrantRow>()
-	/** When money beyond the need was last asked for. */
+	/** Times of the last requests for more tokens than waiting requests need. */
 	private readonly refillRequestedAt = new Map<BudgetName, Millis>()
 	private lastRequestAt: Millis = -Infinity
 	private countersSentAt: Millis = -Infinity
@@ -79,7 +82,7 @@
 		this.transferRequester = new TransferRequester(context)
 	}
 
-	/** Takes the worst case of a request out of the slice. False where it is too small. */
+	/** Reserves the maximum charge of a request. Returns false if the slice is too small. */
 	reserve(budget: BudgetName, amount: Amount): boolean {
 		if (!this.section.ledger.reserve(budget, amount)) return false
 		this.drawnSinceMeasured.set(budget, (this.drawnSinceMeasured.get(budget) ?? 0) + amount)
@@ -87,7 +90,7 @@
 		return true
 	}
 
-	/** Notes what waiting requests lack; shortages that none has any more are forgotten. */
+	/** Sets the tokens that waiting requests need, and clears the shortages of other budgets. */
 	setShortages(needs: ReadonlyMap<BudgetName, Amount>): void {
 		for (const budget of this.shortages.keys()) if (!needs.has(budget)) this.clearShortage(budget)
 		for (const [budget, amount] of needs) {
@@ -98,8 +101,8 @@
 	}
 
 	/**
-	 * Lets a reservation be spent: true once the witness knows that this much may be drawn.
-	 * From then on it counts towards the watermark until it is settled.
+	 * Allows a reservation to be spent. Returns false while the acknowledged watermark does not cover it. From then on it
+	 * counts towards the watermark until it is settled.
 	 */
 	commit(budget: BudgetName, amount: Amount): boolean {
 		const committed = this.committed.get(budget) ?? 0
@@ -109,29 +112,29 @@
 		return true
 	}
 
-	/** Asks the witness to let this box draw what it has reserved, and a tranche more. */
-	requestWatermark(budget: BudgetName, worst: Amount): LogPosition {
+	/** Requests a watermark that covers the reservations and some demand ahead. */
+	requestWatermark(budget: BudgetName, maxCharge: Amount): LogPosition {
 		const { ledger } = this.section
-		const tranche = this.demandOver(budget, this.policy().trancheMs)
-		const ahead = Math.max(tranche, worst * WATERMARK_REQUESTS_AHEAD)
-		const room = Math.min(ahead, ledger.available(budget))
-		return this.replicationLog.raiseWatermark(budget, ledger.drawn(budget) + room)
+		const expectedDemand = this.demandOver(budget, this.policy().trancheMs)
+		const ahead = Math.max(expectedDemand, maxCharge * WATERMARK_REQUESTS_AHEAD)
+		const headroom = Math.min(ahead, ledger.available(budget))
+		return this.replicationLog.raiseWatermark(budget, ledger.drawn(budget) + headroom)
 	}
 
-	/** Ends a reservation with its true charge. */
-	settle(budget: BudgetName, reserved: Amount, charge: Amount, committed: boolean): void {
-		if (committed) this.committed.set(budget, (this.committed.get(budget) ?? 0) - reserved)
+	/** Replaces a reservation by its actual charge. */
+	settle(budget: BudgetName, reserved: Amount, charge: Amount, isCommitted: boolean): void {
+		if (isCommitted) this.committed.set(budget, (this.committed.get(budget) ?? 0) - reserved)
 		this.section.ledger.settle(budget, reserved, charge)
 		this.modifiedBudgets.add(budget)
 		this.replicationLog.addBudget(budget)
 	}
 
-	/** True where neither keeper nor neighbours have money for a request of this size. */
+	/** True if recently neither the zone leader nor another box could provide tokens. */
 	isExhausted(budget: BudgetName): boolean {
 		return (this.exhaustedUntil.get(budget) ?? 0) > this.context.now
 	}
 
-	/** Notes what the witness has acknowledged. */
+	/** Records a row that the replica has acknowledged. */
 	onAcknowledged(row: SliceRow): void {
 		this.section.ledger.acknowledgeWatermark(row.budget, row.watermark)
 		this.replicatedBilled.set(
@@ -140,13 +143,13 @@
 		)
 	}
 
-	/** A new view has another witness, which knows no watermark yet. */
+	/** Resets the watermarks, since a new view may move the replica to another box. */
 	onViewChange(): void {
 		this.section.ledger.resetWatermarks()
 		for (const budget of this.section.ledger.budgets()) this.modifiedBudgets.add(budget)
 	}
 
-	/** Row of a budget for the log to the witness. */
+	/** Creates the row of a budget for the replication log. Its watermark is at least the amount drawn. */
 	sliceRow(budget: BudgetName, watermark: Amount): SliceRow {
 		const { ledger } = this.section
 		const { billed, returned, sent, received } = ledger.counters(budget)
@@ -154,21 +157,21 @@
 		return { budget, billed, returned, sent, received, watermark: Math.max(watermark, drawn) }
 	}
 
-	/** Gives all idle money back before a planned stop. */
+	/** Returns all idle tokens before a planned stop. */
 	returnAllIdle(): void {
 		for (const budget of this.section.ledger.budgets()) this.returnIdle(budget, 0)
 		this.lastRequestAt = -Infinity
 	}
 
-	/** True once the zone ledger has noted every return of a stopping box. */
+	/** True once all slices are empty and the zone ledger has recorded their returned and billed amounts. */
 	isAllReturned(): boolean {
 		const { ledger } = this.section
 		return ledger.budgets().every((budget) => {
 			const { returned, billed } = this.reportableCounters(budget)
-			const noted = this.ledgerRows.get(budget)
-			const isNoted = (noted?.returned ?? 0) >= returned && (noted?.billed ?? 0) >= billed
-			const empty = ledger.available(budget) <= 0 && ledger.reserved(budget) === 0
-			return empty && isNoted
+			const recorded = this.ledgerRows.get(budget)
+			const isRecorded = (recorded?.returned ?? 0) >= returned && (recorded?.billed ?? 0) >= billed
+			const isEmpty = ledger.available(budget) <= 0 && ledger.reserved(budget) === 0
+			return isEmpty && isRecorded
 		})
 	}
 
@@ -188,7 +191,7 @@
 		}
 	}
 
-	/** The keeper asks for idle money of some budgets. */
+	/** Returns idle tokens that the zone leader recalls. */
 	onRecall(rows: readonly RecallRow[]): void {
 		if (!this.protections.recall) return
 		for (const { budget, amount } of rows) {
@@ -199,21 +202,21 @@
 		this.lastRequestAt = -Infinity
 	}
 
-	/** A neighbour lacks money: give it what is idle here. */
+	/** Sends idle tokens to a box that needs them. The reply is also sent if there are none. */
 	onTransferRequest(from: BoxName, message: Extract<PeerMessage, { kind: 'transfer-ask' }>): void {
 		const { budget } = message
 		const idle = this.section.ledger.available(budget) - this.demandOver(budget, DONOR_RESERVE_MS)
 		const peer = entryKey(from, message.incarnation)
 		const amount = Math.min(message.amount, idle)
 		const cumulative = this.section.ledger.sendTo(budget, peer, amount)
-		const ticket = this.replicationLog.addBudget(budget)
+		const logPosition = this.replicationLog.addBudget(budget)
 		this.modifiedBudgets.add(budget)
 		this.pendingTransfers.push({
 			to: from,
 			incarnation: message.incarnation,
 			budget,
 			cumulative,
-			logPosition: ticket,
+			logPosition,
 		})
 		this.sendPendingTransfers()
 	}
@@ -221,15 +224,15 @@
 	onTransfer(from: BoxName, message: Extract<PeerMessage, { kind: 'transfer' }>): void {
 		if (message.to !== this.context.self.incarnation) return
 		const { budget, cumulative } = message
-		const fresh = this.section.ledger.receiveFrom(
+		const received = this.section.ledger.receiveFrom(
 			budget,
 			entryKey(from, message.incarnation),
 			cumulative,
 		)
-		if (fresh > 0) {
+		if (received > 0) {
 			this.exhaustedUntil.delete(budget)
 			this.replicationLog.addBudget(budget)
-			this.context.log('transfer-received', { budget, from, amount: fresh })
+			this.context.log('transfer-received', { budget, from, amount: received })
 		}
 		this.transferRequester.onAnswer(budget, from)
 	}
@@ -247,61 +250,62 @@
 		return this.context.blackboard.config.index?.bundle.policy ?? DEFAULT_POLICY
 	}
 
-	private demandOver(budget: BudgetName, span: Millis): Amount {
-		return Math.ceil(((this.section.demandPerSecond.get(budget) ?? 0) * span) / SECOND_MS)
+	private demandOver(budget: BudgetName, periodMs: Millis): Amount {
+		return Math.ceil(((this.section.demandPerSecond.get(budget) ?? 0) * periodMs) / SECOND_MS)
 	}
 
 	private returnIdle(budget: BudgetName, keep: Amount): void {
 		if (this.shortages.has(budget)) return
-		const given = this.section.ledger.returnIdle(
+		const returned = this.section.ledger.returnIdle(
 			budget,
 			this.section.ledger.available(budget) - keep,
 		)
-		if (given === 0) return
+		if (returned === 0) return
 		this.replicationLog.addBudget(budget)
 		this.modifiedBudgets.add(budget)
-		this.context.log('slice-returned', { budget, amount: given })
+		this.context.log('slice-returned', { budget, amount: returned })
 	}
 
 	private measureDemand(): void {
-		const span = this.context.now - this.demandMeasuredAt
-		if (span < DEMAND_PERIOD_MS) return
+		const elapsedMs = this.context.now - this.demandMeasuredAt
+		if (elapsedMs < DEMAND_PERIOD_MS) return
 		this.demandMeasuredAt = this.context.now
 		const budgets = new Set([
 			...this.section.demandPerSecond.keys(),
 			...this.drawnSinceMeasured.keys(),
 		])
 		for (const budget of budgets) {
-			const rate = ((this.drawnSinceMeasured.get(budget) ?? 0) * SECOND_MS) / span
-			const old = this.section.demandPerSecond.get(budget) ?? rate
-			const smooth = old + DEMAND_SMOOTHING * (rate - old)
-			if (smooth < 1 && rate === 0) this.section.demandPerSecond.delete(budget)
-			else this.section.demandPerSecond.set(budget, smooth)
+			const rate = ((this.drawnSinceMeasured.get(budget) ?? 0) * SECOND_MS) / elapsedMs
+			const previous = this.section.demandPerSecond.get(budget) ?? rate
+			const smoothed = previous + DEMAND_SMOOTHING * (rate - previous)
+			if (smoothed < 1 && rate === 0) this.section.demandPerSecond.delete(budget)
+			else this.section.demandPerSecond.set(budget, smoothed)
 		}
 		this.drawnSinceMeasured.clear()
 	}
 
-	/** What the slice should hold beyond what it has. */
+	/** Tokens to request from the zone leader: the shortage, and a refill if the slice is low. */
 	private wantedTokens(budget: BudgetName): Amount {
-		const softAgain = this.context.now - (this.refillRequestedAt.get(budget) ?? -Infinity)
-		if (!this.shortages.has(budget) && softAgain < MIN_REFILL_INTERVAL_MS) return 0
-		const short = this.shortages.get(budget)?.amount ?? 0
-		const full = this.demandOver(budget, this.policy().sliceHorizonMs)
+		const sinceRefillMs = this.context.now - (this.refillRequestedAt.get(budget) ?? -Infinity)
+		if (!this.shortages.has(budget) && sinceRefillMs < MIN_REFILL_INTERVAL_MS) return 0
+		const shortage = this.shortages.get(budget)?.amount ?? 0
+		const targetSize = this.demandOver(budget, this.policy().sliceHorizonMs)
 		const available = this.section.ledger.available(budget)
-		const low = available < full * LOW_FRACTION
-		if (this.context.blackboard.members.isStopping) return Math.max(0, short - available)
-		return low || short > available ? Math.max(0, full + short - available) : 0
+		const isLow = available < targetSize * LOW_FRACTION
+		if (this.context.blackboard.members.isStopping) return Math.max(0, shortage - available)
+		return isLow || shortage > available ? Math.max(0, targetSize + shortage - available) : 0
 	}
 
-	/** What waiting requests lack. */
+	/** Tokens that waiting requests need beyond the slice. */
 	private neededTokens(budget: BudgetName): Amount {
-		const short = this.shortages.get(budget)?.amount ?? 0
-		return Math.max(0, short - this.section.ledger.available(budget))
+		const shortage = this.shortages.get(budget)?.amount ?? 0
+		return Math.max(0, shortage - this.section.ledger.available(budget))
 	}
 
+	/** Sends the zone leader the wanted tokens and, at longer intervals, the counters of modified budgets. */
 	private sendGrantRequest(): void {
-		const keeper = this.context.blackboard.members.leader
-		if (!keeper || !this.context.blackboard.idempotency.hasAllRecords) return
+		const leader = this.context.blackboard.members.leader
+		if (!leader || !this.context.blackboard.idempotency.hasAllRecords) return
 		const withCounters =
 			this.context.now - this.countersSentAt >= this.context.self.timing.countersPeriodMs
 		const budgets = new Set([...this.shortages.keys(), ...this.section.demandPerSecond.keys()])
@@ -322,17 +326,17 @@
 		for (const row of rows)
 			if (!this.context.blackboard.members.isStopping) this.modifiedBudgets.delete(row.budget)
 		const { incarnation } = this.context.self
-		this.context.send(keeper, { kind: 'ask', incarnation, rows })
+		this.context.send(leader, { kind: 'ask', incarnation, rows })
 	}
 
-	/** Counters as the ledger may take them: a bill that the witness does not know may be lost. */
+	/** Counters for the ledger. A bill that the replica has not acknowledged may still be lost and is left out. */
 	private reportableCounters(budget: BudgetName): SliceCounters {
 		const counters = this.section.ledger.counters(budget)
 		if (!this.protections.witnessedBills) return counters
 		return { ...counters, billed: this.replicatedBilled.get(budget) ?? 0 }
 	}
 
-	/** The final counters of an incarnation that was fenced off: it drew no more than these. */
+	/** Final counters of this incarnation, which bound what it has drawn when it is fenced. */
 	finalCounterRows(): GrantRequestRow[] {
 		return this.section.ledger.budgets().map((budget) => {
 			return { budget, want: 0, need: 0, counters: this.reportableCounters(budget) }
@@ -344,21 +348,22 @@
 		this.transferRequester.end(budget)
 	}
 
+	/** Sends transfers that are durable, so that the tokens cannot be counted at both boxes after a crash. */
 	private sendPendingTransfers(): void {
 		const { members } = this.context.blackboard.members.view
 		while (
 			this.pendingTransfers[0] &&
 			this.replicationLog.isDurable(this.pendingTransfers[0].logPosition)
 		) {
-			const owed = this.pendingTransfers.shift()
-			const to = owed && findMember(members, owed.to)
+			const transfer = this.pendingTransfers.shift()
+			const to = transfer && findMember(members, transfer.to)
 			if (!to) continue
-			const { budget, cumulative } = owed
+			const { budget, cumulative } = transfer
 			const { incarnation } = this.context.self
 			this.context.send(to, {
 				kind: 'transfer',
 				incarnation,
-				to: owed.incarnation,
+				to: transfer.incarnation,
 				budget,
 				cumulative,
 			})
@@ -366,12 +371,12 @@
 		}
 	}
 
-	/** Asks the neighbours one after the other where the keeper cannot help. */
+	/** Requests tokens from the other boxes if the zone leader cannot grant them. */
 	private requestTransfers(): void {
-		for (const [budget, short] of this.shortages) {
-			if (this.section.ledger.available(budget) >= short.amount) continue
-			if (this.isExhausted(budget) || this.mayLeaderGrant(budget, short)) continue
-			const amount = short.amount - this.section.ledger.available(budget)
+		for (const [budget, shortage] of this.shortages) {
+			if (this.section.ledger.available(budget) >= shortage.amount) continue
+			if (this.isExhausted(budget) || this.mayLeaderGrant(budget, shortage)) continue
+			const amount = shortage.amount - this.section.ledger.available(budget)
 			if (!this.transferRequester.askNext(budget, amount, this.peers())) this.markExhausted(budget)
 		}
 	}
@@ -387,11 +392,12 @@
 		this.transferRequester.end(budget)
 	}
 
-	private mayLeaderGrant(budget: BudgetName, short: Shortage): boolean {
-		const { isPlatformUp: platformUp } = this.context.blackboard.members
-		const dry = (this.section.zoneExhaustedUntil.get(budget) ?? 0) > this.context.now
-		const patient = this.context.now - short.since < this.context.self.timing.maxBudgetWaitMs / 2
-		return platformUp && !dry && patient
+	private mayLeaderGrant(budget: BudgetName, shortage: Shortage): boolean {
+		const { isPlatformUp } = this.context.blackboard.members
+		const isZoneExhausted = (this.section.zoneExhaustedUntil.get(budget) ?? 0) > this.context.now
+		const isRecent =
+			this.context.now - shortage.since < this.context.self.timing.maxBudgetWaitMs / 2
+		return isPlatformUp && !isZoneExhausted && isRecent
 	}
 
 	private isCovered(budget: BudgetName, committed: Amount): boolean {
@@ -400,7 +406,7 @@
 		return ledger.counters(budget).billed + committed <= ledger.watermark(budget)
 	}
 
-	/** Nothing may be drawn beyond the watermark by a request that starts now. */
+	/** Checks that the committed reservations do not exceed the acknowledged watermark. */
 	private assertCovered(budget: BudgetName): void {
 		assertInvariant(
 			this.isCovered(budget, this.committed.get(budget) ?? 0),
--- a/packages/core/src/lib/controllers/TargetController.ts
+++ b/packages/core/src/lib/controllers/TargetController.ts
@@ -13,16 +13,16 @@
 const EJECTION_MS: Millis = 5_000
 const FAILURE_RATE_SMOOTHING = 0.1
 
-/** What the choice needs to know of a run. */
+/** Properties of a run that determine the choice of its target. */
 export interface TargetQuery {
 	readonly id: RequestId
 	readonly work: Work
 	readonly priority: Priority
-	/** Targets that were tried already; taken again only where there is no other. */
+	/** Targets that the run has tried. They are chosen again only if no other target is available. */
 	readonly triedTargets: ReadonlySet<TargetName>
 }
 
-/** Targets of the zone: which one a request goes to, and which get none. */
+/** Manages the targets of the zone: chooses targets for runs, ejects failing ones and tracks which are leaving. */
 export class TargetController {
 	private appliedBundleVersion = 0
 	private listedLeaving = new Set<TargetName>()
@@ -41,22 +41,22 @@
 		this.applyRecords(index.targetsOf(this.context.self.zone))
 	}
 
-	/** True where the zone has a target for this work, free or not. */
+	/** True if the zone has a target for this work, whether or not it has capacity. */
 	hasTargetFor(work: Work): boolean {
 		for (const state of this.section.states.values())
 			if (!state.leaving && servesWork(state.record, work)) return true
 		return false
 	}
 
-	/** Chooses a target and says why; undefined where none is free. */
-	chooseTarget(run: TargetQuery): TargetState | undefined {
-		const { id, work, priority, triedTargets: tried } = run
+	/** Chooses a target and logs the choice. Returns undefined if none has capacity. */
+	chooseTarget(query: TargetQuery): TargetState | undefined {
+		const { id, work, priority, triedTargets } = query
 		const headroom = this.context.blackboard.config.index?.bundle.policy.urgentHeadroom ?? 0
 		const candidates = [...this.section.states.values()].filter((state) => {
 			return this.canTakeRequest(state, priority, headroom) && servesWork(state.record, work)
 		})
-		const fresh = candidates.filter((state) => !tried.has(state.record.name))
-		const pool = fresh.length > 0 ? fresh : candidates
+		const untried = candidates.filter((state) => !triedTargets.has(state.record.name))
+		const pool = untried.length > 0 ? untried : candidates
 		const prefix = work.kind === 'model' ? work.prefixHash : undefined
 		const choice = pickTarget(pool, {
 			prefix,
@@ -83,13 +83,13 @@
 		if (state.ejectedUntil > 0) state.isProbing = true
 	}
 
-	onAttemptEnded(name: TargetName, failed: boolean): void {
+	onAttemptEnded(name: TargetName, hasFailed: boolean): void {
 		const state = this.section.states.get(name)
 		if (!state) return
 		state.inFlight = Math.max(0, state.inFlight - 1)
-		state.failureRate += FAILURE_RATE_SMOOTHING * ((failed ? 1 : 0) - state.failureRate)
-		state.consecutiveFailures = failed ? state.consecutiveFailures + 1 : 0
-		if (failed) this.noteFailure(state)
+		state.failureRate += FAILURE_RATE_SMOOTHING * ((hasFailed ? 1 : 0) - state.failureRate)
+		state.consecutiveFailures = hasFailed ? state.consecutiveFailures + 1 : 0
+		if (hasFailed) this.noteFailure(state)
 		else this.endEjection(state)
 	}
 
@@ -106,7 +106,7 @@
 		}
 	}
 
-	/** Targets that the platform's list calls leaving. */
+	/** Sets the targets that are leaving according to the list on the platform. */
 	setListedLeaving(targets: readonly TargetName[]): void {
 		this.listedLeaving = new Set(targets)
 		for (const state of this.section.states.values()) this.updateLeaving(state)
@@ -119,16 +119,16 @@
 		return state.inFlight < usable
 	}
 
-	/** This box's part of a limit that holds for the whole zone. */
+	/** Share of this box in a limit of the zone. */
 	private limitPerBox(limit: number): number {
 		const boxes = Math.max(1, this.context.blackboard.members.view.members.length)
 		return Math.max(1, Math.ceil(limit / boxes))
 	}
 
 	private noteFailure(state: TargetState): void {
-		const again = state.isProbing
+		const hasProbeFailed = state.isProbing
 		state.isProbing = false
-		if (state.consecutiveFailures < EJECTION_FAILURES && !again) return
+		if (state.consecutiveFailures < EJECTION_FAILURES && !hasProbeFailed) return
 		state.ejectedUntil = this.context.now + EJECTION_MS
 		this.context.log('target-ejected', {
 			target: state.record.name,
@@ -158,14 +158,14 @@
 
 	private updateLeaving(state: TargetState): void {
 		const { name, leaving } = state.record
-		const now = leaving || this.listedLeaving.has(name) || this.reportedLeaving.has(name)
-		if (now && !state.leaving) this.context.log('target-leaving', { target: name })
-		state.leaving = now
+		const isLeaving = leaving || this.listedLeaving.has(name) || this.reportedLeaving.has(name)
+		if (isLeaving && !state.leaving) this.context.log('target-leaving', { target: name })
+		state.leaving = isLeaving
 	}
 }
 
 function servesWork(record: TargetRecord, work: Work): boolean {
-	const served = work.kind === 'model' ? work.model : work.service
+	const name = work.kind === 'model' ? work.model : work.service
 	const kind = work.kind === 'model' ? 'engine' : 'service'
-	return record.kind === kind && record.serves.includes(served)
+	return record.kind === kind && record.serves.includes(name)
 }
--- a/packages/core/src/lib/controllers/ZoneLeaderController.ts
+++ b/packages/core/src/lib/controllers/ZoneLeaderController.ts
@@ -7,7 +7,7 @@
 import type { GrantRow, PeerMessage } from '../router/PeerMessage.js'
 import { SECOND_MS, type Amount, type Millis } from '../units.js'
 
-/** Ends of an incarnation that wait for the ledger. */
+/** Report of a removed incarnation that is not in the zone ledger yet. */
 interface PendingReplicaReport {
 	readonly box: BoxName
 	readonly incarnation: Incarnation
@@ -16,16 +16,16 @@
 }
 
 const MIN_RECALL_INTERVAL_MS: Millis = 300
-/** Share of the platform's writes that all zones together may use for money. */
+/** Fraction of the platform's writes that all zones together may use for budgets. */
 const LEDGER_WRITE_FRACTION = 0.6
-/** Writes that a zone may make at once after a quiet time. */
+/** Maximum number of writes in a burst. */
 const MAX_WRITE_BURST = 6
-/** Share of the platform's reads that all zones together may use for polling shards. */
+/** Fraction of the platform's reads that all zones together may use to poll shards. */
 const POLL_READ_FRACTION = 0.3
 
 /**
- * The keeper's money work: gathers the asks of the boxes of its zone and hands them to one
- * {@link BudgetShardWriter} per shard, which writes ledger and shard by compare-and-swap.
+ * Manages the budgets of a zone while this box is its leader: distributes the messages of the boxes to one
+ * {@link BudgetShardWriter} per shard, which writes the ledger and the shard by compare-and-swap.
  */
 export class ZoneLeaderController {
 	private readonly shardWriters = new Map<number, BudgetShardWriter>()
@@ -36,7 +36,7 @@
 
 	constructor(private readonly context: CoreContext) {}
 
-	/** Begins or ends the role: nothing is kept from an earlier term. */
+	/** Discards all state of the previous term. */
 	onLeaderChange(): void {
 		this.shardWriters.clear()
 		this.pendingReplicaReports.length = 0
@@ -55,22 +55,22 @@
 
 	onGrantRequest(from: BoxName, message: Extract<PeerMessage, { kind: 'ask' }>): void {
 		for (const row of message.rows) {
-			const ask = { box: from, incarnation: message.incarnation, ...row }
-			this.shardWriterOf(row.budget)?.addRequest(ask)
+			const request = { box: from, incarnation: message.incarnation, ...row }
+			this.shardWriterOf(row.budget)?.addRequest(request)
 		}
 	}
 
 	onReplicaReport(from: BoxName, message: Extract<PeerMessage, { kind: 'testimony' }>): void {
-		const closing = this.getOrCreatePendingReport(message.box, message.incarnation, from)
+		const pending = this.getOrCreatePendingReport(message.box, message.incarnation, from)
 		for (const { budget, testimony } of message.rows) {
-			const shard = this.shardWriterOf(budget)
-			if (!shard) continue
-			closing.shards.add(shard.number)
-			shard.addReplicaReport({ ...message, budget, report: testimony })
+			const shardWriter = this.shardWriterOf(budget)
+			if (!shardWriter) continue
+			pending.shards.add(shardWriter.number)
+			shardWriter.addReplicaReport({ ...message, budget, report: testimony })
 		}
 	}
 
-	/** The new incarnation repeats the last word of the old one until the ledger has it. */
+	/** A new incarnation resends the final counters of its predecessor until they are in the ledger and acknowledged. */
 	onFinalCounters(from: BoxName, message: Extract<PeerMessage, { kind: 'confess' }>): void {
 		const { box, incarnation } = message
 		const isNew = !this.incarnationsWithFinalCounters.has(incarnation)
@@ -80,11 +80,11 @@
 				this.shardWriterOf(budget)?.addFinalCounters({ box, incarnation, budget, counters })
 			return
 		}
-		const open = [...this.shardWriters.values()].some((s) =>
-			s.hasPendingFinalCounters(box, incarnation),
+		const isPending = [...this.shardWriters.values()].some((writer) =>
+			writer.hasPendingFinalCounters(box, incarnation),
 		)
 		const to = this.memberOf(from)
-		if (!open && to) this.context.send(to, { kind: 'confess-ack', incarnation })
+		if (!isPending && to) this.context.send(to, { kind: 'confess-ack', incarnation })
 	}
 
 	private shardWriterOf(budget: BudgetName): BudgetShardWriter | undefined {
@@ -94,23 +94,23 @@
 	}
 
 	private getOrCreateShardWriter(number: number): BudgetShardWriter {
-		let found = this.shardWriters.get(number)
-		if (!found) {
-			found = new BudgetShardWriter(this.context, number, {
-				onGrant: (asks, rows) => this.sendGrant(asks, rows),
+		let writer = this.shardWriters.get(number)
+		if (!writer) {
+			writer = new BudgetShardWriter(this.context, number, {
+				onGrant: (request, row) => this.sendGrant(request, row),
 				onRecall: (budget, amount) => this.sendRecall(budget, amount),
 				tryAcquireWrite: (urgent) => this.writeLimiter.tryAcquire(this.context.now, urgent),
 				pollPeriodMs: () => this.pollPeriodMs(),
 			})
-			this.shardWriters.set(number, found)
+			this.shardWriters.set(number, writer)
 		}
-		return found
+		return writer
 	}
 
-	private sendGrant(ask: GrantRequest, row: GrantRow): void {
-		const member = this.memberOf(ask.box)
-		if (!member || member.incarnation !== ask.incarnation) return
-		const { incarnation } = ask
+	private sendGrant(request: GrantRequest, row: GrantRow): void {
+		const member = this.memberOf(request.box)
+		if (!member || member.incarnation !== request.incarnation) return
+		const { incarnation } = request
 		this.context.send(member, { kind: 'grant', incarnation, rows: [row] })
 	}
 
@@ -122,8 +122,8 @@
 	}
 
 	private sendRecall(budget: BudgetName, amount: Amount): void {
-		const last = this.recalledAt.get(budget) ?? -Infinity
-		if (this.context.now - last < MIN_RECALL_INTERVAL_MS) return
+		const recalledAt = this.recalledAt.get(budget) ?? -Infinity
+		if (this.context.now - recalledAt < MIN_RECALL_INTERVAL_MS) return
 		this.recalledAt.set(budget, this.context.now)
 		for (const member of this.context.blackboard.members.view.members)
 			this.context.send(member, { kind: 'recall', rows: [{ budget, amount }] })
@@ -134,25 +134,25 @@
 		incarnation: Incarnation,
 		replyTo: BoxName,
 	): PendingReplicaReport {
-		const found = this.pendingReplicaReports.find((entry) => {
+		const existing = this.pendingReplicaReports.find((entry) => {
 			return entry.box === box && entry.incarnation === incarnation
 		})
-		if (found) return found
-		const made = { box, incarnation, shards: new Set<number>(), replyTo }
-		this.pendingReplicaReports.push(made)
-		return made
+		if (existing) return existing
+		const report = { box, incarnation, shards: new Set<number>(), replyTo }
+		this.pendingReplicaReports.push(report)
+		return report
 	}
 
 	private acknowledgeReplicaReports(): void {
 		for (let i = this.pendingReplicaReports.length - 1; i >= 0; i--) {
-			const closing = this.pendingReplicaReports[i]
-			if (!closing) continue
-			const open = [...closing.shards].some((shard) =>
+			const report = this.pendingReplicaReports[i]
+			if (!report) continue
+			const isPending = [...report.shards].some((shard) =>
 				this.shardWriters.get(shard)?.hasPendingReplicaReports(),
 			)
-			if (open) continue
+			if (isPending) continue
 			this.pendingReplicaReports.splice(i, 1)
-			const { box, incarnation, replyTo } = closing
+			const { box, incarnation, replyTo } = report
 			const to = replyTo && this.memberOf(replyTo)
 			if (to) this.context.send(to, { kind: 'testimony-ack', box, incarnation })
 		}
