--- a/packages/core/src/lib/identity/BoxReplica.ts
+++ b/packages/core/src/lib/identity/BoxReplica.ts
@@ -8,7 +8,7 @@
 	type RecordLoss,
 } from './IdempotencyRecord.js'
 
-/** One budget's line in a batch; all amounts cumulative. @public */
+/** Counters of one budget in a batch. All amounts are cumulative. @public */
 export interface SliceRow {
 	readonly budget: BudgetName
 	readonly billed: Amount
@@ -18,29 +18,29 @@
 	readonly received: Amount
 }
 
-/** A batch that an owner sends its witness. @public */
+/** A batch of changes that a box sends to the holder of its replica. @public */
 export interface ReplicationBatch {
 	readonly box: BoxName
 	readonly incarnation: Incarnation
-	/** View in which the sender has this witness. */
+	/** View in which the receiver holds the replica. */
 	readonly view: number
-	/** 1 for the first batch of a view; each next one is one higher. */
+	/** Number of the batch in its view, from 1. */
 	readonly seq: number
 	readonly money: readonly SliceRow[]
 	readonly records: readonly IdempotencyRecord[]
-	/** Bills of claims that earlier batches of this view brought. */
+	/** Bills of claims in earlier batches of this view. */
 	readonly bills: readonly BillRow[]
 	readonly losses: readonly RecordLoss[]
 }
 
-/** A witness's copy of what one box incarnation must not lose. @public */
+/** Replica of the records and slices of one incarnation of another box. @public */
 export class BoxReplica {
 	readonly records = new Map<RequestId, IdempotencyRecord>()
 	readonly slices = new Map<BudgetName, SliceRow>()
 	readonly losses = new Map<string, RecordLoss>()
-	/** View of the last batch taken. */
+	/** View of the last applied batch. */
 	viewNumber = 0
-	/** Number of the last batch taken. */
+	/** Number of the last applied batch. */
 	lastSeq = 0
 
 	constructor(
@@ -49,11 +49,11 @@
 	) {}
 
 	/**
-	 * Takes a batch. Batches of a view come in order; a doubled one changes nothing.
-	 * Returns the highest number taken, to be acknowledged.
+	 * Applies a batch if it is the next of its view; ignores duplicates. Returns the number of the last applied batch of
+	 * that view, to be acknowledged.
 	 */
 	apply(batch: ReplicationBatch): number {
-		// The first batch of a view is a full snapshot; without it the copy would have gaps.
+		// Only the first batch of a view is a full snapshot. Without it the replica would have gaps.
 		const isSnapshot = batch.view > this.viewNumber && batch.seq === 1
 		if (isSnapshot) {
 			this.viewNumber = batch.view
@@ -69,7 +69,7 @@
 		return this.lastSeq
 	}
 
-	/** What this witness can say of the money of the box once it is sealed. */
+	/** Reports for the zone ledger on the slices of the box, once it is sealed. */
 	replicaReports(): Map<BudgetName, ReplicaReport> {
 		const rows = new Map<BudgetName, ReplicaReport>()
 		for (const [budget, row] of this.slices) {
@@ -78,31 +78,31 @@
 		return rows
 	}
 
-	/** Drops records older than a time. */
+	/** Drops records written before a time, in Unix ms. */
 	expire(before: Millis): void {
 		for (const [id, record] of this.records) if (record.at < before) this.records.delete(id)
 	}
 
 	private mergeBill(bill: BillRow): void {
-		const known = this.records.get(bill.id)
-		if (known) this.mergeRecord({ ...known, ...bill, state: 'billed' })
+		const existing = this.records.get(bill.id)
+		if (existing) this.mergeRecord({ ...existing, ...bill, state: 'billed' })
 	}
 
 	private mergeRecord(record: IdempotencyRecord): void {
-		const known = this.records.get(record.id)
-		this.records.set(record.id, known ? laterRecord(known, record) : record)
+		const existing = this.records.get(record.id)
+		this.records.set(record.id, existing ? laterRecord(existing, record) : record)
 	}
 }
 
-function mergeSliceRows(row: SliceRow, known: ReadonlyMap<BudgetName, SliceRow>): SliceRow {
-	const old = known.get(row.budget)
-	if (!old) return row
+function mergeSliceRows(row: SliceRow, existing: ReadonlyMap<BudgetName, SliceRow>): SliceRow {
+	const previous = existing.get(row.budget)
+	if (!previous) return row
 	return {
 		budget: row.budget,
-		billed: Math.max(old.billed, row.billed),
-		watermark: Math.max(old.watermark, row.watermark),
-		returned: Math.max(old.returned, row.returned),
-		sent: Math.max(old.sent, row.sent),
-		received: Math.max(old.received, row.received),
+		billed: Math.max(previous.billed, row.billed),
+		watermark: Math.max(previous.watermark, row.watermark),
+		returned: Math.max(previous.returned, row.returned),
+		sent: Math.max(previous.sent, row.sent),
+		received: Math.max(previous.received, row.received),
 	}
 }
--- a/packages/core/src/lib/identity/HandoffSender.ts
+++ b/packages/core/src/lib/identity/HandoffSender.ts
@@ -4,7 +4,7 @@
 import type { Millis } from '../units.js'
 import type { IdempotencyRecord, RecordLoss } from './IdempotencyRecord.js'
 
-/** Records on their way to the box that owns their keys now. */
+/** Records sent to the new owner of their keys. */
 export interface Handoff {
 	readonly to: Member
 	readonly view: number
@@ -13,13 +13,12 @@
 	readonly losses: readonly RecordLoss[]
 }
 
-/** Sends handoffs until each is acknowledged. */
+/** Sends handoffs and repeats each until it is acknowledged. */
 export class HandoffSender {
 	private readonly unacknowledged = new Map<string, { handoff: Handoff; sentAt: Millis }>()
 
 	constructor(private readonly context: CoreContext) {}
 
-	/** Sends a handoff now, and again until it is acknowledged. */
 	add(handoff: Handoff): void {
 		const key = handoffKey(handoff.to.box, handoff.view, handoff.source)
 		this.unacknowledged.set(key, { handoff, sentAt: this.context.now })
@@ -30,11 +29,11 @@
 		this.unacknowledged.delete(handoffKey(from, view, source))
 	}
 
-	/** Drops handoffs to boxes that are no members any more. */
+	/** Drops handoffs of earlier views to incarnations that are no longer members. */
 	dropNonMembers(members: readonly Member[], view: number): void {
 		for (const [key, { handoff }] of this.unacknowledged) {
-			const stays = members.some((member) => member.incarnation === handoff.to.incarnation)
-			if (!stays && handoff.view < view) this.unacknowledged.delete(key)
+			const isMember = members.some((member) => member.incarnation === handoff.to.incarnation)
+			if (!isMember && handoff.view < view) this.unacknowledged.delete(key)
 		}
 	}
 
--- a/packages/core/src/lib/identity/IdempotencyKey.ts
+++ b/packages/core/src/lib/identity/IdempotencyKey.ts
@@ -1,7 +1,7 @@
 import type { ZoneName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** What a key of the documented form `<zone>.<time>.<random>` says. Time is Unix ms, base 36. @public */
+/** Parts of a zoned key `<zone>.<time>.<random>`, where the time is in Unix ms, in base 36. @public */
 export interface KeyParts {
 	readonly zone: ZoneName
 	readonly mintedAt: Millis
@@ -10,12 +10,12 @@
 const ZONED_KEY = /^([a-z0-9-]{1,40})\.([0-9a-z]{6,10})\.([0-9A-Za-z_-]{6,64})$/
 const KEY_CHARACTERS = /^[\x21-\x7e]{1,200}$/
 
-/** Says whether a caller's key is printable ASCII of 1 to 200 characters. @public */
+/** Whether a caller's key consists of 1 to 200 printable ASCII characters. @public */
 export function isWellFormedKey(key: string): boolean {
 	return KEY_CHARACTERS.test(key)
 }
 
-/** Reads a key of the documented form; undefined for a plain key or an unknown zone. @public */
+/** Parses a zoned key. Returns undefined for any other key and for an unknown zone. @public */
 export function parseKey(key: string, zones: readonly ZoneName[]): KeyParts | undefined {
 	const match = ZONED_KEY.exec(key)
 	if (!match) return undefined
@@ -26,7 +26,7 @@
 	return { zone, mintedAt }
 }
 
-/** Makes a key of the documented form. `random` is 6 to 64 letters and digits. @public */
+/** Creates a zoned key. `random` must be 6 to 64 letters and digits. @public */
 export function mintKey(zone: ZoneName, now: Millis, random: string): string {
 	return `${zone}.${Math.floor(now).toString(36)}.${random}`
 }
--- a/packages/core/src/lib/identity/IdempotencyRecord.ts
+++ b/packages/core/src/lib/identity/IdempotencyRecord.ts
@@ -9,38 +9,38 @@
 import type { Amount, Millis } from '../units.js'
 
 /**
- * How far the present turn of a request has come.
+ * State of the latest turn of a request.
  * - `claimed`: may be running or have run.
- * - `void`: this turn certainly did not run; the request may be tried again.
- * - `billed`: ran, and its bill is counted.
+ * - `void`: did not run; the request may be tried again.
+ * - `billed`: ran, and its charge is included in `amount`.
  * @public
  */
 export type IdempotencyState = 'claimed' | 'void' | 'billed'
 
-/** What is remembered of one request id. @public */
+/** Record that makes a request idempotent: what is known of its earlier runs. @public */
 export interface IdempotencyRecord {
 	readonly id: RequestId
-	/** Hash of method, path and body: the same key with another body is refused. */
+	/** Hash of method, path and body. A request with the same key and a different hash is refused. */
 	readonly bodyHash: string
-	/** False where the request may run at most once. */
+	/** False if the request may run at most once. */
 	readonly repeatable: boolean
-	/** Counts the claims of this request; a new claim has the next number. */
+	/** Number of the latest claim of this request; incremented by each new claim. */
 	readonly turn: number
 	readonly state: IdempotencyState
-	/** The box that has the present turn. */
+	/** The box that made the latest claim. */
 	readonly box: BoxName
 	readonly incarnation: Incarnation
-	/** The target that holds the run, so that its answer can be resumed. */
+	/** Target of the run, at which its answer can be resumed. */
 	readonly target?: TargetName
 	readonly budget: BudgetName
-	/** Billed over all turns so far; a later turn bills only the difference. */
+	/** Amount billed over all turns. A later turn bills only the difference. */
 	readonly amount: Amount
 	readonly at: Millis
 }
 
 const STATE_ORDER: Readonly<Record<IdempotencyState, number>> = { claimed: 0, void: 1, billed: 2 }
 
-/** The later of two records of the same request: the higher turn, then the later state. @public */
+/** Returns the later of two records of a request, ordered by turn, state and time. @public */
 export function laterRecord(a: IdempotencyRecord, b: IdempotencyRecord): IdempotencyRecord {
 	if (a.turn !== b.turn) return a.turn > b.turn ? a : b
 	if (STATE_ORDER[a.state] !== STATE_ORDER[b.state])
@@ -48,17 +48,17 @@
 	return b.at > a.at ? b : a
 }
 
-/** True where some turn of the request ran or may have run. @public */
+/** True if any turn of the request ran or may have run. @public */
 export function mayHaveRun(record: IdempotencyRecord | undefined): boolean {
 	return record !== undefined && (record.state !== 'void' || record.amount > 0)
 }
 
-/** Makes the id of a request from its client account and key. @public */
+/** Creates the id of a request from its client account and key. @public */
 export function requestId(account: AccountName, key: string): RequestId {
 	return `${account}/${key}` as RequestId
 }
 
-/** A bill that follows a claim which the receiver has already. @public */
+/** Charge of a claim that the receiver already holds. @public */
 export interface BillRow {
 	readonly id: RequestId
 	readonly turn: number
@@ -66,22 +66,22 @@
 	readonly at: Millis
 }
 
-/** The key part of a request id. @public */
+/** Returns the idempotency key of a request id. @public */
 export function keyOf(id: RequestId): string {
 	return id.slice(id.indexOf('/') + 1)
 }
 
 /**
- * Says that the records of the keys of one box were lost up to a time, because the box and its
- * witness went together. A key from before may have run; a new owner must not run it again.
+ * Notes that the records of the keys of a box were lost because the box and its replica failed together. A request whose
+ * key is older than the loss may have run, and its new owner must not run it again.
  * @public
  */
 export interface RecordLoss {
 	/** View in which the lost box owned its keys. */
 	readonly view: number
 	readonly box: BoxName
-	/** Boxes of that view, by which ownership is recomputed. */
+	/** Boxes of that view that could own keys; determine which keys the lost box owned. */
 	readonly members: readonly BoxName[]
-	/** Time at which the loss was noted. */
+	/** Time at which the loss was detected, in Unix ms. */
 	readonly at: Millis
 }
--- a/packages/core/src/lib/identity/ReplicationLog.ts
+++ b/packages/core/src/lib/identity/ReplicationLog.ts
@@ -5,7 +5,7 @@
 import type { BillRow, IdempotencyRecord, RecordLoss } from './IdempotencyRecord.js'
 import type { ReplicationBatch, SliceRow } from './BoxReplica.js'
 
-/** Number of an enqueued change; acknowledged in order. @public */
+/** Number of a change in the replication log. Changes are acknowledged in order. @public */
 export type LogPosition = number
 
 interface InFlightBatch {
@@ -14,25 +14,25 @@
 	sentAt: Millis
 }
 
-/** Least time between two confirmations of a box without a witness. */
+/** Minimum time between two reads of the view by a box without a replica, in ms. */
 const MIN_CONFIRMATION_INTERVAL_MS: Millis = 10
 
-/** Reads what a full snapshot must hold. */
+/** Provides the content of a full snapshot, and receives acknowledgements. */
 export interface ReplicationSource {
 	records(): Iterable<IdempotencyRecord>
 	losses(): Iterable<RecordLoss>
 	budgets(): readonly BudgetName[]
-	/** The row of a budget; its watermark is at least what is drawn already. */
+	/** Creates the row of a budget. Its watermark is at least the amount already drawn. */
 	sliceRow(budget: BudgetName, watermark: Amount): SliceRow
-	/** Called with each row that the witness has acknowledged. */
+	/** Called with each row that the replica has acknowledged. */
 	onAcknowledged(row: SliceRow): void
-	/** Called where the platform holds a newer view. */
+	/** Called if the platform holds a newer view. */
 	onNewerView(view: ZoneView): void
 }
 
 /**
- * Owner's side of the log to the witness. One batch is in flight at a time; what comes up meanwhile
- * is gathered into the next, so that batches grow with load and no timer is needed.
+ * Replicates the records and slices of this box to another box of the zone. One batch is in flight at a time. Changes
+ * made meanwhile form the next batch, so batches grow with load.
  */
 export class ReplicationLog {
 	private replicaBox: Member | undefined
@@ -44,7 +44,7 @@
 	private isSnapshotDue = true
 	private hasSynced = false
 	private readonly dirtyRecords = new Map<RequestId, IdempotencyRecord>()
-	/** Turns whose claim the witness was sent in this view, by request. */
+	/** Turns whose claim was sent in this view, by request. */
 	private readonly sentClaims = new Map<RequestId, number>()
 	private readonly dirtyLosses: RecordLoss[] = []
 	private readonly dirtyBudgets = new Set<BudgetName>()
@@ -58,12 +58,12 @@
 		private readonly source: ReplicationSource,
 	) {}
 
-	/** True where the box is alone in its view; then the platform's view stands for a witness. */
+	/** True if the box is the only member of its view. Changes are then confirmed with the platform, not by a replica. */
 	isOnlyMember(): boolean {
 		return this.viewNumber > 0 && this.replicaBox === undefined
 	}
 
-	/** Follows a new view: the witness may be another, and gets a full snapshot. */
+	/** Applies a new view. The box that holds the replica may change, so the next batch is a full snapshot. */
 	setView(view: number, members: readonly Member[]): void {
 		this.viewNumber = view
 		this.replicaBox = replicaBoxOf(members, this.context.self.box)
@@ -74,47 +74,45 @@
 		this.sentClaims.clear()
 	}
 
-	/** Enqueues a record. */
 	addRecord(record: IdempotencyRecord): LogPosition {
 		this.dirtyRecords.set(record.id, record)
 		return this.nextPosition()
 	}
 
-	/** Enqueues a loss mark. */
 	addLoss(loss: RecordLoss): LogPosition {
 		this.dirtyLosses.push(loss)
 		return this.nextPosition()
 	}
 
-	/** Enqueues the counters of a budget. */
+	/** Enqueues the current counters of a budget. */
 	addBudget(budget: BudgetName): LogPosition {
 		this.dirtyBudgets.add(budget)
 		return this.nextPosition()
 	}
 
-	/** Asks that the witness let this box draw up to an amount. */
+	/** Enqueues a request to draw up to an amount of a budget. */
 	raiseWatermark(budget: BudgetName, upTo: Amount): LogPosition {
 		this.requestedWatermarks.set(budget, Math.max(upTo, this.requestedWatermarks.get(budget) ?? 0))
 		return this.addBudget(budget)
 	}
 
-	/** Number of the last change enqueued. */
+	/** Position of the last enqueued change. */
 	lastPosition(): LogPosition {
 		return this.lastIssued
 	}
 
-	/** Says whether a change is safe: acknowledged by the witness, or confirmed by the platform. */
-	isDurable(ticket: LogPosition): boolean {
+	/** Whether a change was acknowledged by the replica or, without one, confirmed with the platform. */
+	isDurable(position: LogPosition): boolean {
 		if (this.viewNumber === 0) return false
-		return ticket <= this.lastAcknowledged
+		return position <= this.lastAcknowledged
 	}
 
-	/** True where this view has been acknowledged once, and so its snapshot. */
+	/** True once the snapshot of the current view was acknowledged. */
 	isSynced(): boolean {
 		return this.hasSynced
 	}
 
-	/** Sends what has gathered, or again what was not acknowledged. */
+	/** Sends the next batch, or resends the one in flight if it is overdue. */
 	flush(): void {
 		if (!this.replicaBox) {
 			this.confirmWithPlatform()
@@ -128,7 +126,6 @@
 		this.sendNext(this.replicaBox)
 	}
 
-	/** Takes the acknowledgement of the witness. */
 	onAck(view: number, seq: number): void {
 		const flight = this.inFlight
 		if (!flight || view !== this.viewNumber || seq !== flight.batch.seq) return
@@ -144,37 +141,39 @@
 	}
 
 	/**
-	 * A box without a witness may have been dropped without knowing. So what it wants to do waits for
-	 * a read of the view that began later and still names it: whoever drops it afterwards notes a
-	 * loss that is later than the keys it acted on, and refuses them as unknown.
+	 * Confirms the enqueued changes by a read of the view, since a box without a replica does not learn otherwise that it
+	 * was removed. If the view still contains the box, any later removal records a loss with a later time than the keys of
+	 * these changes, so that their requests are not run again.
 	 */
 	private confirmWithPlatform(): void {
-		const upToDate = this.hasSynced && this.lastIssued === this.lastAcknowledged
-		if (this.viewNumber === 0 || upToDate || this.isConfirming) return
+		const isUpToDate = this.hasSynced && this.lastIssued === this.lastAcknowledged
+		if (this.viewNumber === 0 || isUpToDate || this.isConfirming) return
 		if (this.context.now - this.lastConfirmationAt < MIN_CONFIRMATION_INTERVAL_MS) return
 		this.isConfirming = true
 		this.lastConfirmationAt = this.context.now
-		const { viewNumber: view, lastIssued: issued } = this
+		const { viewNumber, lastIssued } = this
 		const budgets = this.hasSynced ? [...this.dirtyBudgets] : this.source.budgets()
 		const rows = budgets.map((budget) => this.source.sliceRow(budget, 0))
 		this.clearPending()
 		const key = zoneKeys.view(this.context.self.zone)
 		this.context.callPlatform({ kind: 'get', key }, (result) => {
 			this.isConfirming = false
-			if (result.kind === 'value') this.onConfirmed(result.value as ZoneView, view, issued, rows)
+			if (result.kind === 'value')
+				this.onConfirmed(result.value as ZoneView, viewNumber, lastIssued, rows)
 			else for (const budget of budgets) this.dirtyBudgets.add(budget)
 		})
 	}
 
 	private onConfirmed(
-		found: ZoneView,
-		view: number,
-		ticket: LogPosition,
+		storedView: ZoneView,
+		viewNumber: number,
+		position: LogPosition,
 		rows: readonly SliceRow[],
 	): void {
-		if (found.number > this.viewNumber) this.source.onNewerView(found)
-		if (found.number !== view || view !== this.viewNumber || this.replicaBox) return
-		this.lastAcknowledged = Math.max(this.lastAcknowledged, ticket)
+		if (storedView.number > this.viewNumber) this.source.onNewerView(storedView)
+		if (storedView.number !== viewNumber || viewNumber !== this.viewNumber || this.replicaBox)
+			return
+		this.lastAcknowledged = Math.max(this.lastAcknowledged, position)
 		this.hasSynced = true
 		for (const row of rows) this.source.onAcknowledged(row)
 	}
@@ -188,23 +187,23 @@
 	private resend(): void {
 		const flight = this.inFlight
 		if (!flight || !this.replicaBox) return
-		const age = this.context.now - flight.sentAt
-		const due = age >= this.context.self.timing.resendDelayMs
-		if (!due || this.context.now - this.lastResentAt < this.context.self.timing.resendDelayMs)
+		const ageMs = this.context.now - flight.sentAt
+		const isDue = ageMs >= this.context.self.timing.resendDelayMs
+		if (!isDue || this.context.now - this.lastResentAt < this.context.self.timing.resendDelayMs)
 			return
 		this.lastResentAt = this.context.now
 		this.context.send(this.replicaBox, { kind: 'log', batch: flight.batch })
 	}
 
-	/** Changed records; a bill whose claim the witness has is sent short. */
+	/** Changed records. The bill of a claim that was sent in this view is sent without the rest of the record. */
 	private recordsToSend(): { records: IdempotencyRecord[]; bills: BillRow[] } {
 		if (this.isSnapshotDue) return { records: [...this.source.records()], bills: [] }
 		const records: IdempotencyRecord[] = []
 		const bills: BillRow[] = []
 		for (const record of this.dirtyRecords.values()) {
 			const { id, turn, amount, at } = record
-			const known = this.sentClaims.get(id) === turn
-			if (known && record.state === 'billed') bills.push({ id, turn, amount, at })
+			const isClaimSent = this.sentClaims.get(id) === turn
+			if (isClaimSent && record.state === 'billed') bills.push({ id, turn, amount, at })
 			else records.push(record)
 			if (record.state === 'claimed') this.sentClaims.set(id, turn)
 			else this.sentClaims.delete(id)
@@ -212,9 +211,9 @@
 		return { records, bills }
 	}
 
-	private sendNext(witness: Member): void {
+	private sendNext(replicaBox: Member): void {
 		const budgets = this.isSnapshotDue ? this.source.budgets() : [...this.dirtyBudgets]
-		const money = budgets.map((budget) => {
+		const slices = budgets.map((budget) => {
 			return this.source.sliceRow(budget, this.requestedWatermarks.get(budget) ?? 0)
 		})
 		const { records, bills } = this.recordsToSend()
@@ -223,7 +222,7 @@
 			incarnation: this.context.self.incarnation,
 			view: this.viewNumber,
 			seq: ++this.lastSeq,
-			money,
+			money: slices,
 			records,
 			bills,
 			losses: this.isSnapshotDue ? [...this.source.losses()] : [...this.dirtyLosses],
@@ -231,6 +230,6 @@
 		this.isSnapshotDue = false
 		this.clearPending()
 		this.inFlight = { batch, position: this.lastIssued, sentAt: this.context.now }
-		this.context.send(witness, { kind: 'log', batch })
+		this.context.send(replicaBox, { kind: 'log', batch })
 	}
 }
--- a/packages/core/src/lib/identity/rendezvous.test.ts
+++ b/packages/core/src/lib/identity/rendezvous.test.ts
@@ -3,7 +3,7 @@
 import { rendezvous, rendezvousFirst, rendezvousRank } from './rendezvous.js'
 
 describe('rendezvous', () => {
-	it('ranks alike in each of its forms', () => {
+	it('ranks equally in each variant', () => {
 		const names = fc.uniqueArray(fc.string(), { maxLength: 30 })
 		fc.assert(
 			fc.property(fc.string(), names, fc.nat(32), (key, candidates, count) => {
@@ -19,7 +19,7 @@
 		)
 	})
 
-	it('has no place for a name that is no candidate', () => {
+	it('has no rank for a name that is not a candidate', () => {
 		expect(rendezvousRank('key', 'other', [], 1)).toBeUndefined()
 		expect(rendezvousRank('key', 'other', ['a'], 2)).toBeUndefined()
 	})
--- a/packages/core/src/lib/identity/rendezvous.ts
+++ b/packages/core/src/lib/identity/rendezvous.ts
@@ -1,8 +1,8 @@
 import { fnv1a } from '../fnv1a.js'
 
 /**
- * Ranks candidates for a key by rendezvous hashing: every box computes the same order, and removing
- * one candidate moves only the keys that it held.
+ * Ranks candidates for a key by rendezvous hashing. Every box computes the same order, and removing a candidate moves
+ * only the keys for which it ranked first.
  * @public
  */
 export function rendezvous<T extends string>(key: string, candidates: readonly T[]): T[] {
@@ -11,7 +11,7 @@
 	return scored.map((entry) => entry.name)
 }
 
-/** The first candidate of {@link rendezvous}, without sorting. @public */
+/** Returns the first candidate of {@link rendezvous} without sorting. @public */
 export function rendezvousFirst<T extends string>(
 	key: string,
 	candidates: readonly T[],
@@ -20,8 +20,8 @@
 	let bestScore = -1
 	for (const name of candidates) {
 		const score = fnv1a(`${name}\u0000${key}`)
-		const wins = score > bestScore || (score === bestScore && best !== undefined && name < best)
-		if (!wins) continue
+		const isBetter = score > bestScore || (score === bestScore && best !== undefined && name < best)
+		if (!isBetter) continue
 		best = name
 		bestScore = score
 	}
@@ -29,17 +29,17 @@
 }
 
 /**
- * The place of a candidate in {@link rendezvous}, from 0, without sorting; undefined where it is none of the first so
- * many.
+ * Returns the rank of a candidate in {@link rendezvous}, from 0, without sorting; undefined if it is not among the first
+ * `count`.
  * @public
  */
 export function rendezvousRank<T extends string>(
 	key: string,
 	candidate: T,
 	candidates: readonly T[],
-	most: number,
+	count: number,
 ): number | undefined {
-	const own = fnv1a(`${candidate}\u0000${key}`)
+	const ownScore = fnv1a(`${candidate}\u0000${key}`)
 	let rank = 0
 	let isCandidate = false
 	for (const name of candidates) {
@@ -48,8 +48,8 @@
 			continue
 		}
 		const score = fnv1a(`${name}\u0000${key}`)
-		if (score > own || (score === own && name < candidate)) rank++
-		if (rank >= most) return undefined
+		if (score > ownScore || (score === ownScore && name < candidate)) rank++
+		if (rank >= count) return undefined
 	}
-	return isCandidate && rank < most ? rank : undefined
+	return isCandidate && rank < count ? rank : undefined
 }
