--- a/packages/core/src/lib/bundle/Bundle.ts
+++ b/packages/core/src/lib/bundle/Bundle.ts
@@ -1,7 +1,7 @@
 import type { AccountName, BudgetName, TargetName, ZoneName } from '../ids.js'
 import type { Amount, Millis } from '../units.js'
 
-/** Lowest and highest priority class of a request. @public */
+/** Priority of a request. @public */
 export type Priority = 'urgent' | 'ordinary'
 
 /** An availability zone of the fleet. @public */
@@ -16,65 +16,66 @@
 	readonly inputWeight: number
 	/** Budget tokens per output token. */
 	readonly outputWeight: number
-	/** Largest answer, in output tokens; also the default of a request that names none. */
+	/** Maximum length of an answer, in output tokens; also the default of a request that sets no limit. */
 	readonly maxOutputTokens: number
 }
 
-/** A plain service and its price. @public */
+/** A service other than a model engine, and its price. @public */
 export interface ServiceRecord {
 	readonly name: string
 	/** Budget tokens per call. */
 	readonly callCost: Amount
 }
 
-/** A back end: one model engine or one instance of a plain service. @public */
+/** A back end: a model engine or an instance of a service. @public */
 export interface TargetRecord {
 	readonly name: TargetName
 	readonly zone: ZoneName
 	readonly kind: 'engine' | 'service'
 	readonly url: string
-	/** Models of an engine, or the one service name of a plain service. */
+	/** Names of the models of an engine, or the name of the service. */
 	readonly serves: readonly string[]
-	/** Requests that the target may have in flight from the whole zone. */
+	/** Maximum number of requests in flight from all boxes of the zone. */
 	readonly concurrency: number
-	/** True from the moment at which the target shall get no new work. */
+	/** True if the target must not receive new requests. */
 	readonly leaving: boolean
 }
 
-/** A client account. Only hashes of its keys are kept. @public */
+/** A client account. Holds only hashes of its bearer keys. @public */
 export interface AccountRecord {
 	readonly name: AccountName
 	/** `sha256:<hex>` of each bearer key. */
 	readonly keyHashes: readonly string[]
 	readonly budgets: readonly BudgetName[]
 	readonly defaultBudget: BudgetName
-	/** Zones that plain keys of this account may have as home; all zones where empty. */
+	/** Home zones of idempotency keys that name no zone; all zones if empty. */
 	readonly homeZones: readonly ZoneName[]
 }
 
 /** A prepaid budget. @public */
 export interface BudgetRecord {
 	readonly name: BudgetName
-	/** Budget tokens paid for. Spend never exceeds it. */
+	/** Budget tokens paid for, which is the maximum that can be spent. */
 	readonly prepaid: Amount
 }
 
-/** Policy settings that go with a bundle. @public */
+/** Policy settings of a bundle. @public */
 export interface PolicyRecord {
-	/** Length of demand that a slice should cover, in ms. */
+	/** Period of demand that a box's slice of a budget should cover, in ms. */
 	readonly sliceHorizonMs: Millis
-	/** Length of demand that a watermark tranche should cover, in ms. */
+	/** Period of demand by which a watermark is raised, in ms. */
 	readonly trancheMs: Millis
-	/** How long an identity record is kept after the answer, in ms. */
+	/** Time for which an idempotency record is kept after the answer, in ms. */
 	readonly retentionMs: Millis
-	/** Largest clock difference between any two machines, callers included, in ms. */
+	/** Maximum difference between the clocks of any two machines, including callers, in ms. */
 	readonly clockSkewMs: Millis
-	/** Share of a target's concurrency that ordinary requests may not use. */
+	/** Fraction of a target's concurrency that is reserved for urgent requests. */
 	readonly urgentHeadroom: number
-	/** Platform values that the budgets are spread over. Changing it needs new budget names. */
+	/** Number of platform values that store the budgets. A change requires new budget names. */
 	readonly shardCount: number
-	/** Writes and reads a second that the platform can take in all. */
+	/** Writes per second that the platform can handle for all zones together. */
 	readonly platformWrites: number
+	/** Reads per second that the platform can handle for all zones together. */
 	readonly platformReads: number
 }
 
@@ -90,7 +91,7 @@
 	readonly policy: PolicyRecord
 }
 
-/** Policy of a bundle that states none. Figures are argued in `docs/design/money.md`. @public */
+/** Policy of a bundle that sets none. `docs/design/money.md` explains the values. @public */
 export const DEFAULT_POLICY: PolicyRecord = {
 	sliceHorizonMs: 600_000,
 	trancheMs: 2_000,
--- a/packages/core/src/lib/bundle/BundleIndex.ts
+++ b/packages/core/src/lib/bundle/BundleIndex.ts
@@ -9,7 +9,7 @@
 	TargetRecord,
 } from './Bundle.js'
 
-/** A bundle with the look-ups that a router needs. Built once per version. @public */
+/** A bundle, indexed by name and by key hash. Built once per version. @public */
 export class BundleIndex {
 	readonly zones: readonly ZoneName[]
 	private readonly accountsByKey = new Map<string, AccountRecord>()
--- a/packages/core/src/lib/bundle/validateBundle.ts
+++ b/packages/core/src/lib/bundle/validateBundle.ts
@@ -3,7 +3,7 @@
 import { brandId, type Branded } from '../ids.js'
 import { DEFAULT_POLICY, type Bundle } from './Bundle.js'
 
-/** One fault of a bundle. `path` leads to the offending value. @public */
+/** A validation error of a bundle. `path` locates the invalid value. @public */
 export interface BundleFault {
 	readonly kind: 'bundle-fault'
 	readonly path: readonly (string | number)[]
@@ -35,7 +35,7 @@
 	platformReads: z.number().int().min(1).default(DEFAULT_POLICY.platformReads),
 })
 
-/** Schema of a bundle file. The settings reference is made from it. @public */
+/** Schema of a bundle file. @public */
 export const bundleSchema = z.strictObject({
 	version: z.number().int().min(1),
 	zones: z.array(z.strictObject({ name: nameSchema<Bundle['zones'][number]['name']>() })).min(1),
@@ -82,8 +82,7 @@
 })
 
 /**
- * Checks a parsed bundle against the schema and its own cross references.
- * Lists every fault found, not only the first.
+ * Validates a parsed bundle against the schema and checks its cross references. Returns all errors, not only the first.
  * @public
  */
 export function validateBundle(input: unknown): E.Either<readonly BundleFault[], Bundle> {
@@ -118,11 +117,11 @@
 		...duplicateFaults('budgets', bundle.budgets),
 	]
 	bundle.targets.forEach((target, i) => {
-		const known = target.kind === 'engine' ? models : services
+		const knownNames = target.kind === 'engine' ? models : services
 		if (!zones.has(target.zone))
 			faults.push(makeFault(['targets', i, 'zone'], 'a zone of this bundle'))
 		target.serves.forEach((served, j) => {
-			if (!known.has(served))
+			if (!knownNames.has(served))
 				faults.push(makeFault(['targets', i, 'serves', j], `a known ${target.kind} name`))
 		})
 	})
--- a/packages/core/src/lib/platform/PlatformOp.ts
+++ b/packages/core/src/lib/platform/PlatformOp.ts
@@ -1,18 +1,18 @@
 import type { Millis } from '../units.js'
 
-/** Number that ties a platform reply to its call. @public */
+/** Identifies a call to the platform, to match it with its result. @public */
 export type OpId = number
 
-/** A call of the platform's key-value service. Values are JSON documents. @public */
+/** A call to the key-value service of the platform. Values are JSON documents. @public */
 export type PlatformOp =
 	| { readonly kind: 'get'; readonly key: string }
 	| {
 			readonly kind: 'cas'
 			readonly key: string
-			/** Revision that the value must still have; 0 where it must be absent. */
+			/** Required current revision of the value; 0 if it must be absent. */
 			readonly expected: number
 			readonly value: unknown
-			/** The value vanishes with this lease. */
+			/** Lease with which the value expires. */
 			readonly lease?: string
 	  }
 	| { readonly kind: 'lease-create'; readonly ttlMs: Millis }
@@ -21,12 +21,12 @@
 	| {
 			readonly kind: 'watch'
 			readonly key: string
-			/** Answers once the revision is above this one, or after the timeout. */
+			/** The call returns once the revision is higher than this, or after the timeout. */
 			readonly after: number
 			readonly timeoutMs: Millis
 	  }
 
-/** What the platform said. @public */
+/** Result of a call to the platform. @public */
 export type PlatformResult =
 	| { readonly kind: 'value'; readonly revision: number; readonly value: unknown }
 	| { readonly kind: 'absent' }
@@ -35,5 +35,5 @@
 	| { readonly kind: 'lease'; readonly lease: string }
 	| { readonly kind: 'lease-lost' }
 	| { readonly kind: 'refused'; readonly retryAfterMs: Millis }
-	/** No answer: the call may or may not have taken effect. */
+	/** No response. The call may have taken effect. */
 	| { readonly kind: 'no-answer' }
--- a/packages/core/src/lib/requests/Run.ts
+++ b/packages/core/src/lib/requests/Run.ts
@@ -5,16 +5,16 @@
 
 /**
  * Stages of a run at the box that owns it.
- * - `admitting`: waits for a settled view, money, the witness and a target.
+ * - `admitting`: waits for idempotency records, budget tokens, replication and a target.
  * - `running`: an attempt is in flight.
- * - `settling`: the answer is whole, its bill is on the way to the witness.
- * - `done`: the answer is kept for second tries.
- * - `failed`: ended without a whole answer; kept so that late events are told apart.
+ * - `settling`: the answer is complete, and its bill is being replicated.
+ * - `done`: the answer is kept for repeated requests.
+ * - `failed`: ended without a complete answer.
  * @public
  */
 export type RunStage = 'admitting' | 'running' | 'settling' | 'done' | 'failed'
 
-/** One request at the box that runs it. @public */
+/** A request at the box that runs it. @public */
 export interface Run {
 	readonly id: RequestId
 	readonly account: AccountName
@@ -23,47 +23,46 @@
 	readonly work: Work
 	readonly priority: Priority
 	readonly repeatable: boolean
-	/** True where this box made the key: nobody else has seen it before the answer begins. */
+	/** True if this box created the key, so that no one else knows it before the answer starts. */
 	readonly hasMintedKey: boolean
 	readonly deadline: Millis
 	readonly startedAt: Millis
-	/** Worst-case charge. */
+	/** Maximum charge, which is reserved. */
 	readonly maxCharge: Amount
 	readonly maxOutputTokens: number
 	stage: RunStage
-	/** The call whose body is sent; the shell holds it until the run ends. */
+	/** The call whose body is sent. The shell keeps it until the run ends. */
 	readonly firstCallId: CallId
-	/** Callers that wait for the answer, with what each sent. */
+	/** Calls that wait for the answer, with their requests. */
 	readonly callers: Map<CallId, CallerRequest>
-	/** True once the shell keeps an answer for the run. */
+	/** True once the calls are attached to an answer in the shell. */
 	isAttached: boolean
 	isReserved: boolean
-	/** Log ticket that must be acknowledged before the next step; 0 for none. */
+	/** Position in the replication log that must be durable before the next step; 0 for none. */
 	logPosition: number
-	/** True while the reservation counts as drawn towards the watermark. */
+	/** True while the reservation counts towards the watermark. */
 	isCommitted: boolean
 	attempt: number
-	/** Target that the claim names; a slot there is held from then on. */
+	/** Target of the claim, at which the run occupies a slot. */
 	target: TargetName | undefined
-	/** Set where an earlier run is resumed instead of running again. */
+	/** Target at which the answer of an earlier run is resumed; undefined for a new run. */
 	resumeTarget: TargetName | undefined
-	/** Number of this claim of the request. */
+	/** Number of this claim in the idempotency record. */
 	readonly turn: number
-	/** What earlier runs of this request were billed; only the difference is billed now. */
+	/** Amount billed for earlier runs of the request. This run bills only the difference. */
 	readonly previouslyBilled: Amount
-	/** True while an attempt is out, or has ended in a way that does not say whether it ran. */
+	/** True if an attempt is in flight, or any attempt may have run. */
 	mayHaveRun: boolean
-	/** The same of the attempts before the one that is out, and of other boxes' tries. */
+	/** True if an attempt before the current one, here or at another box, may have run. */
 	mayHaveRunEarlier: boolean
 	charge: Amount
 	endedAt: Millis
 	waitingFor: WaitReason | undefined
-	/** Time since which it waits for the present reason. */
+	/** Start of the wait for `waitingFor`, in Unix ms. */
 	waitingSince: Millis
-	/** Targets that this run has tried. */
 	readonly triedTargets: Set<TargetName>
 	isCancelling: boolean
 }
 
-/** What a run waits for. @public */
+/** What a run waits for before it starts. @public */
 export type WaitReason = 'view' | 'money' | 'witness' | 'target'
--- a/packages/core/src/lib/requests/RunAdmission.ts
+++ b/packages/core/src/lib/requests/RunAdmission.ts
@@ -11,19 +11,19 @@
 import type { Run, WaitReason } from './Run.js'
 import type { RunStore } from './RunStore.js'
 
-/** Switches for experiments and for showing that tests catch a missing protection. @public */
+/** Protections that a test or an experiment can switch off. @public */
 export interface RequestProtections {
-	/** Wait until the witness has the claim of a request that may not be repeated. */
+	/** Start a request that must not be repeated only after its claim is replicated. */
 	readonly claims: boolean
-	/** Hold the last bytes until the witness has the bill. */
+	/** Withhold the last bytes of an answer until its bill is replicated. */
 	readonly billBeforeAnswer: boolean
-	/** Refuse keys whose records may have been lost. */
+	/** Refuse requests whose records may have been lost. */
 	readonly forgotten: boolean
-	/** Drop events of attempts that were given up. */
+	/** Ignore events of earlier attempts. */
 	readonly attemptNumbers: boolean
 }
 
-/** All protections on. @public */
+/** Enables all protections. @public */
 export const ALL_REQUEST_PROTECTIONS: RequestProtections = {
 	claims: true,
 	billBeforeAnswer: true,
@@ -33,7 +33,7 @@
 
 const RETRY_AFTER_MS: Millis = SECOND_MS
 
-/** What the steps of a run need. */
+/** Dependencies of the classes that process a run. */
 export interface RunDependencies {
 	readonly context: CoreContext
 	readonly store: RunStore
@@ -44,27 +44,27 @@
 }
 
 /**
- * Takes waiting runs through admission: a settled view, money, the witness's leave to draw, a
- * target, the witness's note of the claim. Nothing has left for a target before the last step.
+ * Admits waiting runs in steps: complete idempotency records, a reservation, a watermark that covers it, a target and a
+ * replicated claim. Nothing is sent to a target before the last step.
  */
 export class RunAdmission {
 	constructor(private readonly dependencies: RunDependencies) {}
 
-	/** Moves every waiting run as far as it can go now. */
+	/** Advances every waiting run as far as possible. */
 	advanceAll(): void {
-		const { store, slices: money } = this.dependencies
+		const { store, slices } = this.dependencies
 		if (!store.queue.isEmpty()) {
 			for (const run of store.queue.inOrder(store.runningByAccount)) this.advance(run)
 		}
-		money.setShortages(this.shortages())
+		slices.setShortages(this.shortages())
 	}
 
-	/** Writes the identity record of a run. */
+	/** Writes the idempotency record of a run. Returns its position in the replication log. */
 	writeRecord(run: Run, state: IdempotencyState, amount: Amount): number {
-		const { context, idempotency: identity } = this.dependencies
+		const { context, idempotency } = this.dependencies
 		const { box, incarnation } = context.self
 		const target = run.target
-		return identity.write({
+		return idempotency.write({
 			id: run.id,
 			bodyHash: run.bodyHash,
 			repeatable: run.repeatable,
@@ -79,21 +79,21 @@
 		})
 	}
 
-	/** Ends a waiting run and frees its money. It is called not run only if no earlier try was. */
+	/** Refuses a waiting run and releases what it holds. The refusal excludes a run only if no attempt may have run. */
 	refuse(run: Run, type: RefusalType, message: string, retryAfterMs?: Millis): void {
 		this.release(run)
-		const refusal = run.mayHaveRun ? maybeRun : notRun
-		this.dependencies.store.fail(run, refusal(type, message, retryAfterMs))
+		const createRefusal = run.mayHaveRun ? maybeRun : notRun
+		this.dependencies.store.fail(run, createRefusal(type, message, retryAfterMs))
 	}
 
-	/** Ends the reservation of a run with its charge; the rest is free at once. */
+	/** Replaces the reservation of a run by its charge and releases the rest. */
 	settle(run: Run, charge: Amount): void {
 		this.dependencies.slices.settle(run.budget, run.maxCharge, charge, run.isCommitted)
 		run.isReserved = false
 		run.isCommitted = false
 	}
 
-	/** Frees what a run holds: its reservation and its slot at a target. */
+	/** Releases the reservation of a run and its slot at a target. */
 	release(run: Run): void {
 		const { targets } = this.dependencies
 		if (run.isReserved) this.settle(run, 0)
@@ -137,34 +137,34 @@
 	}
 
 	private ensureReservation(run: Run): boolean {
-		const { slices: money, context } = this.dependencies
+		const { slices, context } = this.dependencies
 		if (run.isReserved) return true
-		if (money.reserve(run.budget, run.maxCharge)) {
+		if (slices.reserve(run.budget, run.maxCharge)) {
 			run.isReserved = true
 			return true
 		}
 		this.setWaitReason(run, 'money')
-		const late = this.waitedMs(run) > context.self.timing.maxBudgetWaitMs
-		if (late || money.isExhausted(run.budget)) this.refuseForBudget(run)
+		const isOverdue = this.waitedMs(run) > context.self.timing.maxBudgetWaitMs
+		if (isOverdue || slices.isExhausted(run.budget)) this.refuseForBudget(run)
 		return false
 	}
 
 	private refuseForBudget(run: Run): void {
-		const { isPlatformUp: platformUp } = this.dependencies.context.blackboard.members
-		if (platformUp) this.refuse(run, 'budget-exhausted', 'the budget has too little left')
+		const { isPlatformUp } = this.dependencies.context.blackboard.members
+		if (isPlatformUp) this.refuse(run, 'budget-exhausted', 'the budget has too little left')
 		else this.refuse(run, 'budget-exhausted', 'no money in reach of this zone', RETRY_AFTER_MS)
 	}
 
 	private ensureCommitted(run: Run): boolean {
-		const { slices: money, idempotency: identity } = this.dependencies
+		const { slices, idempotency } = this.dependencies
 		if (run.isCommitted) return true
-		if (money.commit(run.budget, run.maxCharge)) {
+		if (slices.commit(run.budget, run.maxCharge)) {
 			run.isCommitted = true
 			run.logPosition = 0
 			return true
 		}
-		if (run.logPosition === 0 || identity.replicationLog.isDurable(run.logPosition))
-			run.logPosition = money.requestWatermark(run.budget, run.maxCharge)
+		if (run.logPosition === 0 || idempotency.replicationLog.isDurable(run.logPosition))
+			run.logPosition = slices.requestWatermark(run.budget, run.maxCharge)
 		this.waitForReplica(run)
 		return false
 	}
@@ -172,18 +172,17 @@
 	private ensureTarget(run: Run): boolean {
 		if (run.target !== undefined) return true
 		const { targets, context } = this.dependencies
-		const chosen = run.resumeTarget ?? this.chooseTarget(run)
-		if (chosen === undefined) {
+		const target = run.resumeTarget ?? this.chooseTarget(run)
+		if (target === undefined) {
 			this.setWaitReason(run, 'target')
 			return false
 		}
-		run.target = chosen
-		targets.onAttemptStarted(chosen)
-		// A repeatable run of a key that nobody else knows yet needs no claim; its bill is recorded.
-		const bare = run.hasMintedKey && run.repeatable
-		run.logPosition = bare ? 0 : this.writeRecord(run, 'claimed', run.previouslyBilled)
-		if (run.resumeTarget !== undefined)
-			context.log('request-resumed', { request: run.id, target: chosen })
+		run.target = target
+		targets.onAttemptStarted(target)
+		// A repeatable run whose key only this box knows needs no claim. Its bill is recorded.
+		const needsNoClaim = run.hasMintedKey && run.repeatable
+		run.logPosition = needsNoClaim ? 0 : this.writeRecord(run, 'claimed', run.previouslyBilled)
+		if (run.resumeTarget !== undefined) context.log('request-resumed', { request: run.id, target })
 		return true
 	}
 
@@ -205,8 +204,8 @@
 			this.refuse(run, 'no-target', 'the target has left', RETRY_AFTER_MS)
 			return
 		}
-		const resume = run.resumeTarget !== undefined
-		assertInvariant(run.repeatable || resume || !run.mayHaveRun, 'run-at-most-once', {
+		const isResume = run.resumeTarget !== undefined
+		assertInvariant(run.repeatable || isResume || !run.mayHaveRun, 'run-at-most-once', {
 			request: run.id,
 		})
 		run.stage = 'running'
@@ -223,7 +222,7 @@
 			callId: run.firstCallId,
 			target: run.target,
 			url: record.url,
-			resume,
+			resume: isResume,
 			priority: run.priority,
 			maxOutputTokens: run.maxOutputTokens,
 		})
@@ -247,7 +246,7 @@
 		return this.dependencies.context.now - run.waitingSince
 	}
 
-	/** The largest request of each budget that waits for money. */
+	/** The largest charge that waits for tokens, for each budget. */
 	private shortages(): Map<BudgetName, Amount> {
 		const needs = new Map<BudgetName, Amount>()
 		for (const run of this.dependencies.store.queue.runs()) {
--- a/packages/core/src/lib/requests/RunFinisher.ts
+++ b/packages/core/src/lib/requests/RunFinisher.ts
@@ -10,7 +10,7 @@
 const MAX_ATTEMPTS = 3
 const RETRY_AFTER_MS: Millis = SECOND_MS
 
-/** What happens when an attempt ends: bill, release the answer, try again, or give up. */
+/** Handles the end of an attempt: bills the run, releases its answer, retries it or fails it. */
 export class RunFinisher {
 	private readonly awaitingBill = new Set<Run>()
 
@@ -19,17 +19,17 @@
 		private readonly admission: RunAdmission,
 	) {}
 
-	/** Takes the end of an attempt. Ends of attempts that were given up change nothing. */
+	/** Handles the end of an attempt. Ignores the ends of earlier attempts. */
 	onAttemptEnded(run: Run, attempt: number, outcome: AttemptOutcome): void {
 		if (this.dependencies.protections.attemptNumbers && attempt !== run.attempt) return
 		if (run.stage !== 'running') return
 		const { context, store, targets } = this.dependencies
 		store.countRunning(run, -1)
-		const untouched = outcome.kind === 'not-sent' || outcome.kind === 'rejected'
-		if (untouched) run.mayHaveRun = run.mayHaveRunEarlier
+		const didNotRun = outcome.kind === 'not-sent' || outcome.kind === 'rejected'
+		if (didNotRun) run.mayHaveRun = run.mayHaveRunEarlier
 		else run.mayHaveRunEarlier = true
-		const failed = outcome.kind === 'broken' || outcome.kind === 'not-sent'
-		if (run.target !== undefined) targets.onAttemptEnded(run.target, failed)
+		const hasFailed = outcome.kind === 'broken' || outcome.kind === 'not-sent'
+		if (run.target !== undefined) targets.onAttemptEnded(run.target, hasFailed)
 		context.log('attempt-ended', {
 			request: run.id,
 			attempt,
@@ -39,11 +39,11 @@
 		this.handleOutcome(run, outcome)
 	}
 
-	/** Lets answers out whose bill is safe. */
+	/** Releases the answers whose bill is durable. */
 	releaseAnswers(): void {
 		for (const run of this.awaitingBill) {
-			const safe = this.dependencies.idempotency.replicationLog.isDurable(run.logPosition)
-			if (!safe && this.dependencies.protections.billBeforeAnswer) continue
+			const isDurable = this.dependencies.idempotency.replicationLog.isDurable(run.logPosition)
+			if (!isDurable && this.dependencies.protections.billBeforeAnswer) continue
 			this.awaitingBill.delete(run)
 			if (run.stage !== 'settling') continue
 			const { context, store } = this.dependencies
@@ -78,11 +78,11 @@
 	}
 
 	private bill(run: Run, inputTokens: number, outputTokens: number): void {
-		const { context, idempotency: identity } = this.dependencies
+		const { context, idempotency } = this.dependencies
 		const tokens = { input: inputTokens, output: outputTokens }
-		const full = chargeOf(context.blackboard.config.index, run.work, tokens, run.maxCharge)
-		const charge = Math.max(0, full - run.previouslyBilled)
-		const billedBefore = identity.find(run.id)?.amount ?? 0
+		const fullCharge = chargeOf(context.blackboard.config.index, run.work, tokens, run.maxCharge)
+		const charge = Math.max(0, fullCharge - run.previouslyBilled)
+		const billedBefore = idempotency.find(run.id)?.amount ?? 0
 		assertInvariant(billedBefore === run.previouslyBilled, 'billed-once', {
 			request: run.id,
 			billedBefore,
@@ -93,7 +93,7 @@
 		context.log('request-billed', { request: run.id, budget: run.budget, amount: charge })
 	}
 
-	/** Bills what ran of a request that was cancelled. */
+	/** Bills the part of a cancelled request that ran. */
 	private billCancelled(run: Run, outputTokens: number): void {
 		const input = run.work.kind === 'model' ? run.work.inputTokens : 0
 		this.bill(run, input, outputTokens)
@@ -104,12 +104,12 @@
 			this.onResumeRejected(run)
 			return
 		}
-		const after = outcome.retryAfterMs ?? RETRY_AFTER_MS
+		const retryAfterMs = outcome.retryAfterMs ?? RETRY_AFTER_MS
 		const text = `the target did not take it: status ${outcome.status}`
-		this.retryOrRefuse(run, notRun('overloaded', text, after), true)
+		this.retryOrRefuse(run, notRun('overloaded', text, retryAfterMs), true)
 	}
 
-	/** The target no longer has the earlier run. */
+	/** Handles a target that no longer has the answer of the earlier run. */
 	private onResumeRejected(run: Run): void {
 		run.resumeTarget = undefined
 		if (run.repeatable) {
@@ -125,10 +125,10 @@
 		this.retryOrRefuse(run, refusal, run.repeatable && !outcome.delivered)
 	}
 
-	private retryOrRefuse(run: Run, refusal: Refusal, mayRetry: boolean): void {
+	private retryOrRefuse(run: Run, refusal: Refusal, isRetryable: boolean): void {
 		const { context } = this.dependencies
-		const inTime = context.now < run.deadline && run.attempt < MAX_ATTEMPTS
-		if (mayRetry && inTime && run.callers.size > 0) {
+		const isWithinLimits = context.now < run.deadline && run.attempt < MAX_ATTEMPTS
+		if (isRetryable && isWithinLimits && run.callers.size > 0) {
 			this.retry(run)
 			return
 		}
--- a/packages/core/src/lib/requests/RunStore.ts
+++ b/packages/core/src/lib/requests/RunStore.ts
@@ -10,7 +10,7 @@
 const ANSWER_RETENTION_MS: Millis = 60_000
 const MAX_RETAINED_ANSWERS = 512
 
-/** The runs of a box, the order in which they wait, and the callers attached to them. */
+/** Stores the runs of a box, their queue and the calls that wait for them. */
 export class RunStore {
 	readonly queue = new RunQueue()
 	readonly runningByAccount = new Map<AccountName, number>()
@@ -40,7 +40,7 @@
 		this.requestIdsByCall.set(run.firstCallId, run.id)
 	}
 
-	/** Adds another caller to a run. */
+	/** Adds a call to a run. */
 	addCaller(run: Run, request: CallerRequest): void {
 		const { callId } = request
 		run.callers.set(callId, request)
@@ -48,7 +48,7 @@
 		if (run.isAttached) this.context.emit({ kind: 'attach', callId, id: run.id })
 	}
 
-	/** Lets the shell keep an answer for the run, with all its callers. */
+	/** Attaches all calls of a run to its answer in the shell. */
 	attachCallers(run: Run): void {
 		if (run.isAttached) return
 		run.isAttached = true
@@ -56,7 +56,7 @@
 			this.context.emit({ kind: 'attach', callId, id: run.id })
 	}
 
-	/** Takes a run that has not been claimed back; its callers are to be placed anew. */
+	/** Removes an unclaimed run. Returns its requests, which must be routed again. */
 	withdraw(run: Run): CallerRequest[] {
 		const requests = [...run.callers.values()]
 		this.queue.remove(run.id)
@@ -64,20 +64,20 @@
 		return requests
 	}
 
-	/** Detaches a caller that is gone. */
+	/** Removes the call of a caller that has disconnected. */
 	removeCaller(run: Run, callId: CallId): void {
 		run.callers.delete(callId)
 		this.requestIdsByCall.delete(callId)
 	}
 
-	/** Counts an attempt of the run's account that is in flight. */
+	/** Changes the number of attempts in flight of the run's account. */
 	countRunning(run: Run, change: 1 | -1): void {
 		const count = (this.runningByAccount.get(run.account) ?? 0) + change
 		if (count > 0) this.runningByAccount.set(run.account, count)
 		else this.runningByAccount.delete(run.account)
 	}
 
-	/** Ends a run without a whole answer and tells its callers at once. */
+	/** Ends a run without a complete answer and refuses its calls. */
 	fail(run: Run, refusal: Refusal): void {
 		this.queue.remove(run.id)
 		run.stage = 'failed'
@@ -92,7 +92,7 @@
 		this.remove(run)
 	}
 
-	/** Keeps the answer of a finished run for second tries, within bounds. */
+	/** Retains the answer of a finished run for repeated requests. */
 	retainAnswer(run: Run): void {
 		run.stage = 'done'
 		run.endedAt = this.context.now
@@ -101,12 +101,13 @@
 		this.finishedRuns.push(run)
 	}
 
-	/** Drops answers that are older or more than the bounds allow. */
+	/** Drops answers that exceed the retention time or the maximum number. */
 	expireAnswers(): void {
-		const oldest = this.context.now - ANSWER_RETENTION_MS
+		const oldestEndedAt = this.context.now - ANSWER_RETENTION_MS
 		while (
 			this.finishedRuns[0] &&
-			(this.finishedRuns.length > MAX_RETAINED_ANSWERS || this.finishedRuns[0].endedAt < oldest)
+			(this.finishedRuns.length > MAX_RETAINED_ANSWERS ||
+				this.finishedRuns[0].endedAt < oldestEndedAt)
 		) {
 			const run = this.finishedRuns.shift()
 			if (!run || this.get(run.id) !== run) continue
@@ -115,15 +116,15 @@
 		}
 	}
 
-	/** Fails every run that has not ended: this incarnation may do no more. */
+	/** Fails every run that has not ended, since this incarnation is fenced. */
 	failAll(): void {
 		for (const run of [...this.runs()]) {
 			if (run.stage === 'done' || run.stage === 'failed') continue
 			if (run.stage === 'running')
 				this.context.emit({ kind: 'cancel-attempt', runId: run.id, attempt: run.attempt })
 			const text = 'this box was fenced off; come back with the same key'
-			const refuse = run.mayHaveRun ? maybeRun : notRun
-			this.fail(run, refuse('box-fenced', text, 1))
+			const createRefusal = run.mayHaveRun ? maybeRun : notRun
+			this.fail(run, createRefusal('box-fenced', text, 1))
 		}
 	}
 
--- a/packages/core/src/lib/requests/priceRequest.ts
+++ b/packages/core/src/lib/requests/priceRequest.ts
@@ -7,16 +7,15 @@
 import type { CallerRequest, Work } from '../router/CoreEvent.js'
 import type { Amount } from '../units.js'
 
-/** A request whose account, budget and price are known. */
+/** Account, budget and maximum charge of a request. */
 export interface PricedRequest {
 	readonly account: AccountRecord
 	readonly budget: BudgetName
-	/** Worst-case charge. */
 	readonly maxCharge: Amount
 	readonly maxOutputTokens: number
 }
 
-/** Looks a request up in the bundle. A refusal here means that nothing has run. */
+/** Determines the account, budget and maximum charge of a request, or why it is refused. */
 export function priceRequest(
 	index: BundleIndex,
 	request: CallerRequest,
@@ -51,20 +50,20 @@
 	const model = index.model(work.model)
 	if (!model) return E.left(notRun('unknown-model', `no model ${work.model}`))
 	const maxOutputTokens = Math.min(work.maxOutputTokens ?? Infinity, model.maxOutputTokens)
-	const worst = work.inputTokens * model.inputWeight + maxOutputTokens * model.outputWeight
-	return E.right({ account, budget, maxCharge: Math.ceil(worst), maxOutputTokens })
+	const maxCharge = work.inputTokens * model.inputWeight + maxOutputTokens * model.outputWeight
+	return E.right({ account, budget, maxCharge: Math.ceil(maxCharge), maxOutputTokens })
 }
 
-/** The charge of what ran, never above the worst case. */
+/** Charge of a run, at most `maxCharge`. */
 export function chargeOf(
 	index: BundleIndex | undefined,
 	work: Work,
 	tokens: { readonly input: number; readonly output: number },
-	worst: Amount,
+	maxCharge: Amount,
 ): Amount {
-	if (work.kind === 'service') return worst
+	if (work.kind === 'service') return maxCharge
 	const model = index?.model(work.model)
-	if (!model) return worst
+	if (!model) return maxCharge
 	const charge = tokens.input * model.inputWeight + tokens.output * model.outputWeight
-	return Math.min(worst, Math.ceil(charge))
+	return Math.min(maxCharge, Math.ceil(charge))
 }
--- a/packages/core/src/lib/router/Blackboard.ts
+++ b/packages/core/src/lib/router/Blackboard.ts
@@ -9,14 +9,14 @@
 import type { BoxConfig } from './BoxConfig.js'
 import type { ZoneMembers } from './PeerMessage.js'
 
-/** Configuration in force. Written by `ConfigController`. @public */
+/** Bundle in force. Written by `ConfigController`. @public */
 export interface ConfigSection {
 	index: BundleIndex | undefined
-	/** Highest version that any peer or the platform has named. */
+	/** Highest version that another box or the platform has announced. */
 	highestKnownVersion: number
 }
 
-/** The zone and its boxes. Written by `MembershipController`. @public */
+/** Membership of the zone and of other zones. Written by `MembershipController`. @public */
 export interface MembersSection {
 	view: ZoneView
 	leader: Member | undefined
@@ -25,32 +25,32 @@
 	isPlatformUp: boolean
 	/** True from the start of a planned stop. */
 	isStopping: boolean
-	/** Time of the last sign of life of the keeper. */
+	/** Time of the last digest of the leader, in Unix ms. */
 	leaderSeenAt: Millis
 }
 
-/** This box's money. Written by `MoneyController`. @public */
+/** Budget slices of this box. Written by `SliceController`. @public */
 export interface SliceSection {
 	readonly ledger: SliceLedger
-	/** Smoothed demand in budget tokens per second. */
+	/** Smoothed demand, in budget tokens per second. */
 	readonly demandPerSecond: Map<BudgetName, Amount>
-	/** Budgets that the keeper called dry, and until when that word counts. */
+	/** Budgets that are exhausted according to the zone leader, and the time until which this is assumed. */
 	readonly zoneExhaustedUntil: Map<BudgetName, Millis>
 }
 
-/** Who ran what. Written by `IdentityController`. @public */
+/** Idempotency records of this box. Written by `IdempotencyController`. @public */
 export interface IdempotencySection {
 	readonly records: Map<RequestId, IdempotencyRecord>
 	/** True once all records of the keys of this box have arrived. */
 	hasAllRecords: boolean
 }
 
-/** Targets and their load. Written by `TargetController`. @public */
+/** Targets of the zone and their load. Written by `TargetController`. @public */
 export interface TargetsSection {
 	readonly states: Map<TargetName, TargetState>
 }
 
-/** Requests of this box. Written by `RequestController`. @public */
+/** Runs of this box. Written by `RequestController`. @public */
 export interface RequestsSection {
 	readonly runs: Map<RequestId, Run>
 }
@@ -65,8 +65,8 @@
 }
 
 /**
- * All that a router knows, in typed sections. Each section has one controller that writes it; every
- * controller may read all.
+ * Read-only view of the state of a router, in sections. Each section is written by one controller, and every controller
+ * may read all sections.
  * @public
  */
 export interface BlackboardView {
@@ -79,7 +79,7 @@
 	readonly roles: ReadonlySection<RolesSection>
 }
 
-/** The writable blackboard. Only the assembly of a core hands sections out. @public */
+/** State of a router, in sections. `RouterCore` gives each controller the section that it writes. @public */
 export interface Blackboard {
 	readonly config: ConfigSection
 	readonly members: MembersSection
@@ -90,7 +90,7 @@
 	readonly roles: RolesSection
 }
 
-/** A blackboard of a box that knows nothing yet. @public */
+/** Creates the initial state of a router. @public */
 export function createBlackboard(): Blackboard {
 	return {
 		config: { index: undefined, highestKnownVersion: 0 },
@@ -115,14 +115,14 @@
 	}
 }
 
-/** True where this box is a member and holds the records of all its keys. @public */
-export function isServingMember(board: BlackboardView, self: BoxConfig): boolean {
-	return board.idempotency.hasAllRecords && isMember(board, self.box, self.incarnation)
+/** True if this box is a member and holds the records of all its keys. @public */
+export function isServingMember(blackboard: BlackboardView, self: BoxConfig): boolean {
+	return blackboard.idempotency.hasAllRecords && isMember(blackboard, self.box, self.incarnation)
 }
 
-/** Says whether this box is a member of its zone's view. @public */
-export function isMember(board: BlackboardView, box: BoxName, incarnation: string): boolean {
-	return board.members.view.members.some(
+/** Whether an incarnation of a box is a member of the zone's view. @public */
+export function isMember(blackboard: BlackboardView, box: BoxName, incarnation: string): boolean {
+	return blackboard.members.view.members.some(
 		(member) => member.box === box && member.incarnation === incarnation,
 	)
 }
--- a/packages/core/src/lib/router/BoxConfig.ts
+++ b/packages/core/src/lib/router/BoxConfig.ts
@@ -1,43 +1,43 @@
 import type { BoxName, Incarnation, ZoneName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** What a box knows of itself before it has talked to anyone. @public */
+/** Identity and timing of a box. @public */
 export interface BoxConfig {
 	readonly box: BoxName
 	readonly zone: ZoneName
 	readonly incarnation: Incarnation
-	/** Address for peers. */
+	/** Address for other boxes. */
 	readonly address: string
 	readonly timing: Timing
 }
 
-/** Periods and limits, all in milliseconds. @public */
+/** Periods and timeouts, in milliseconds. @public */
 export interface Timing {
 	readonly heartbeatPeriodMs: Millis
-	/** A box that was silent for so long is dropped from the view. */
+	/** Time without heartbeats after which a box is removed from the view. */
 	readonly memberTimeoutMs: Millis
-	/** A keeper that was silent for so long is looked up on the platform. */
+	/** Time without digests after which a box queries the platform for the zone leader. */
 	readonly leaderTimeoutMs: Millis
 	readonly leaderLeaseMs: Millis
-	/** Resend of a batch, handoff or testimony that was not acknowledged. */
+	/** Delay before a batch or handoff that was not acknowledged is sent again. */
 	readonly resendDelayMs: Millis
-	/** Period of the keeper's group commits of one shard. */
+	/** Minimum time between two commits of a shard by the zone leader. */
 	readonly commitPeriodMs: Millis
-	/** How long a request may wait for money before it is refused. */
+	/** Maximum time that a request waits for budget tokens. */
 	readonly maxBudgetWaitMs: Millis
-	/** How long a request may wait for the witness or a settled view. */
+	/** Maximum time that a request waits for replication or for idempotency records. */
 	readonly maxReplicationWaitMs: Millis
-	/** How long the keeper waits for recalled money before it calls a budget dry. */
+	/** Time that the zone leader waits for recalled tokens before it reports a budget as exhausted. */
 	readonly recallTimeoutMs: Millis
-	/** How often counters without an ask go to the keeper. */
+	/** Period of sending counters to the zone leader without a request for tokens. */
 	readonly countersPeriodMs: Millis
-	/** How often the keeper reads the views of other zones. */
+	/** Period of reading the views of other zones by the zone leader. */
 	readonly zoneViewsPeriodMs: Millis
-	/** Timeout of one watch call. */
+	/** Timeout of a watch call to the platform. */
 	readonly watchTimeoutMs: Millis
 }
 
-/** Default timing; `docs/CAPACITY.md` says what each costs at full size. @public */
+/** Default timing. `docs/CAPACITY.md` lists the cost of each value. @public */
 export const DEFAULT_TIMING: Timing = {
 	heartbeatPeriodMs: 500,
 	memberTimeoutMs: 2_000,
--- a/packages/core/src/lib/router/CoreAction.ts
+++ b/packages/core/src/lib/router/CoreAction.ts
@@ -4,16 +4,16 @@
 import type { LogEvent } from './LogEvent.js'
 import type { FinalCountersMessage, PeerMessage } from './PeerMessage.js'
 
-/** Everything that a router core may ask of its shell. @public */
+/** Actions that a router core requests from its shell. @public */
 export type CoreAction =
-	/** Answer a caller with a refusal, or break its stream if bytes have left. */
+	/** Refuse a call, or break its stream if bytes have been sent. */
 	| {
 			readonly kind: 'refuse'
 			readonly callId: CallId
 			readonly id?: RequestId
 			readonly refusal: Refusal
 	  }
-	/** Pass the whole call on to the box that owns its key. */
+	/** Relay a call to the box that owns its key. */
 	| {
 			readonly kind: 'relay'
 			readonly callId: CallId
@@ -23,9 +23,9 @@
 			readonly box: BoxName
 			readonly address: string
 	  }
-	/** Give the caller the answer of a run, from its first byte. */
+	/** Attach a call to the answer of a run, from the first byte. */
 	| { readonly kind: 'attach'; readonly callId: CallId; readonly id: RequestId }
-	/** Send the request of a call to a target. `resume` asks for the answer of an earlier run. */
+	/** Send the request of a call to a target. With `resume`, request the answer of an earlier run. */
 	| {
 			readonly kind: 'start-attempt'
 			readonly runId: RequestId
@@ -37,13 +37,13 @@
 			readonly priority: 'urgent' | 'ordinary'
 			readonly maxOutputTokens: number
 	  }
-	/** Cancel an attempt; its end comes back as an event. */
+	/** Cancel an attempt. Its end is reported as an event. */
 	| { readonly kind: 'cancel-attempt'; readonly runId: RequestId; readonly attempt: number }
-	/** Let the held last bytes of the answer go out: the bill is safe. */
+	/** Send the withheld last bytes of an answer, whose bill is durable. */
 	| { readonly kind: 'release-answer'; readonly runId: RequestId; readonly attempt: number }
-	/** The run failed: refuse its callers, or break their streams. */
+	/** Refuse the calls of a failed run, or break their streams. */
 	| { readonly kind: 'fail-run'; readonly runId: RequestId; readonly refusal: Refusal }
-	/** Drop the kept answer of a run. */
+	/** Drop the retained answer of a run. */
 	| { readonly kind: 'drop-answer'; readonly runId: RequestId }
 	| { readonly kind: 'platform'; readonly opId: OpId; readonly op: PlatformOp }
 	| {
@@ -52,15 +52,15 @@
 			readonly address: string
 			readonly message: PeerMessage
 	  }
-	/** Fetch the accepted bundle; it comes back as an event. */
+	/** Fetch a bundle version, which is reported as an event. */
 	| { readonly kind: 'fetch-bundle'; readonly version: number; readonly peers: readonly string[] }
 	| { readonly kind: 'log'; readonly event: LogEvent }
-	/** This incarnation was fenced off: start again as a new one, which passes its last word on. */
+	/** Replace this fenced incarnation by a new one, which reports its final counters to the zone leader. */
 	| {
 			readonly kind: 'restart'
 			readonly finalCounters: FinalCountersMessage
-			/** The new incarnation must sort after this one. */
+			/** Incarnation after which the new one must sort. */
 			readonly after: Incarnation
 	  }
-	/** The planned stop is done. */
+	/** Exit the process: the planned stop is complete. */
 	| { readonly kind: 'exit' }
--- a/packages/core/src/lib/router/CoreContext.ts
+++ b/packages/core/src/lib/router/CoreContext.ts
@@ -7,16 +7,15 @@
 import type { PeerMessage } from './PeerMessage.js'
 import type { Member } from '../membership/ZoneView.js'
 
-/** Gives numbers in [0, 1). Passed in, so that a run can be repeated. @public */
+/** Returns random numbers in [0, 1). Injected, so that a test can be repeated. @public */
 export type RandomSource = () => number
 
 /**
- * What every controller is given: the clock, random numbers, the blackboard to read, and a way to
- * ask the shell for things.
+ * Context of all controllers: time, random numbers, the blackboard, and actions for the shell.
  * @public
  */
 export class CoreContext {
-	/** Time of the event in hand. */
+	/** Time of the current event, in Unix ms. */
 	now: Millis = 0
 	private actions: CoreAction[] = []
 	private nextOpId: OpId = 1
@@ -28,29 +27,28 @@
 		readonly random: RandomSource,
 	) {}
 
-	/** Asks the shell for something. */
+	/** Adds an action for the shell. */
 	emit(action: CoreAction): void {
 		this.actions.push(action)
 	}
 
-	/** Sends a message to a box of the zone. */
 	send(to: Member, message: PeerMessage): void {
 		this.emit({ kind: 'send', to: to.box, address: to.address, message })
 	}
 
-	/** Writes a numbered log line. */
+	/** Writes a log event. */
 	log(name: LogEventName, fields: Readonly<Record<string, LogValue>>): void {
 		this.emit({ kind: 'log', event: { name, fields } })
 	}
 
-	/** Calls the platform; the handler runs when the reply event comes. */
+	/** Calls the platform. The handler receives the result in a later event. */
 	callPlatform(op: PlatformOp, onResult: (result: PlatformResult) => void): void {
 		const opId = this.nextOpId++
 		this.platformHandlers.set(opId, onResult)
 		this.emit({ kind: 'platform', opId, op })
 	}
 
-	/** Hands a platform reply to whoever waits for it. */
+	/** Passes the result of a platform call to its handler. */
 	handlePlatformResult(opId: OpId, result: PlatformResult): void {
 		const handler = this.platformHandlers.get(opId)
 		if (!handler) return
@@ -58,14 +56,14 @@
 		handler(result)
 	}
 
-	/** Takes the actions gathered since the last call. */
+	/** Returns the actions added since the last call. */
 	takeActions(): CoreAction[] {
-		const gathered = this.actions
+		const actions = this.actions
 		this.actions = []
-		return gathered
+		return actions
 	}
 
-	/** A short random text of letters and digits. */
+	/** Returns a random string of lower-case letters and digits. */
 	randomText(length: number): string {
 		let text = ''
 		while (text.length < length) text += Math.floor(this.random() * 36).toString(36)
--- a/packages/core/src/lib/router/CoreEvent.ts
+++ b/packages/core/src/lib/router/CoreEvent.ts
@@ -5,25 +5,25 @@
 import type { LoadReport } from './LoadReport.js'
 import type { PeerMessage } from './PeerMessage.js'
 
-/** A caller's request, read and hashed by the shell. @public */
+/** A request of a caller, parsed and hashed by the shell. @public */
 export interface CallerRequest {
 	readonly callId: CallId
-	/** `sha256:<hex>` of the bearer key; absent where the call comes from a peer that checked it. */
+	/** `sha256:<hex>` of the bearer key; absent if another box has verified it and relayed the call. */
 	readonly keyHash?: string
-	/** The account, where a peer has checked the bearer key. */
+	/** The account of a relayed call, whose bearer key another box has verified. */
 	readonly account?: AccountName
-	/** Key of the caller; absent where it sent none. */
+	/** Idempotency key; absent if the caller sent none. */
 	readonly idempotencyKey?: string
 	readonly bodyHash: string
 	readonly work: Work
 	readonly priority: Priority
 	readonly repeatable: boolean
 	readonly budget?: BudgetName
-	/** Time by which the first byte must come. */
+	/** Time by which the first byte must arrive, in Unix ms. */
 	readonly deadline: Millis
-	/** Set by the core where it made the key itself. */
+	/** True if the core created the idempotency key. */
 	readonly hasMintedKey?: boolean
-	/** Boxes that have passed this call on; bounds relaying. */
+	/** Number of boxes that have relayed this call. */
 	readonly hops: number
 }
 
@@ -33,7 +33,7 @@
 			readonly kind: 'model'
 			readonly model: string
 			readonly inputTokens: number
-			/** The caller's own limit on output tokens, if any. */
+			/** Limit on output tokens, if the caller set one. */
 			readonly maxOutputTokens?: number
 			/** Hash of the leading part of the prompt, for prefix affinity. */
 			readonly prefixHash?: string
@@ -42,24 +42,24 @@
 
 /** How an attempt at a target ended. @public */
 export type AttemptOutcome =
-	/** The whole answer came. */
+	/** The answer was complete. */
 	| { readonly kind: 'whole'; readonly inputTokens: number; readonly outputTokens: number }
-	/** No byte of the request left for the target. */
+	/** No byte of the request was sent. */
 	| { readonly kind: 'not-sent'; readonly reason: string }
-	/** The target said that it did not take the request. */
+	/** The target refused the request and did not run it. */
 	| { readonly kind: 'rejected'; readonly status: number; readonly retryAfterMs?: Millis }
-	/** The answer broke off or made no sense; `outputTokens` is what is known to have run. */
+	/** The answer was truncated or invalid. `outputTokens` counts the output received. */
 	| {
 			readonly kind: 'broken'
 			readonly reason: string
 			readonly outputTokens: number
-			/** True where a caller has had bytes of it. */
+			/** True if a caller has received bytes of the answer. */
 			readonly delivered: boolean
 	  }
-	/** The run was cancelled at our word; `outputTokens` is what the target says ran. */
+	/** This box cancelled the run. `outputTokens` is the output reported by the target. */
 	| { readonly kind: 'cancelled'; readonly outputTokens: number }
 
-/** Everything that a router core reacts to. @public */
+/** Events that a router core handles. @public */
 export type CoreEvent =
 	| { readonly kind: 'tick' }
 	| { readonly kind: 'bundle'; readonly bundle: Bundle }
@@ -68,7 +68,7 @@
 	| {
 			readonly kind: 'relay-failed'
 			readonly callId: CallId
-			/** True where no byte of the request left for the peer, or the peer refused to own it. */
+			/** True if no byte of the request was sent, or the other box refused it unrun. */
 			readonly notRun: boolean
 	  }
 	| {
--- a/packages/core/src/lib/router/LoadReport.ts
+++ b/packages/core/src/lib/router/LoadReport.ts
@@ -1,12 +1,12 @@
 import type { TargetName } from '../ids.js'
 import type { Millis } from '../units.js'
 
-/** A target's own word on its load. @public */
+/** Load of a target, as reported by the target. @public */
 export interface LoadReport {
 	readonly target: TargetName
 	readonly running: number
 	readonly waiting: number
 	readonly leaving: boolean
-	/** Time at which the target measured it. */
+	/** Time of the measurement at the target, in Unix ms. */
 	readonly at: Millis
 }
--- a/packages/core/src/lib/router/LogEvent.ts
+++ b/packages/core/src/lib/router/LogEvent.ts
@@ -1,13 +1,13 @@
 import type { LOG_EVENTS } from './logEvents.js'
 
-/** Name of a numbered event of the catalogue. @public */
+/** Name of a log event. @public */
 export type LogEventName = keyof typeof LOG_EVENTS
 
-/** One structured log line. The shell adds number, time, box and zone. @public */
+/** A structured log event. The shell adds its number, the time, the box and the zone. @public */
 export interface LogEvent {
 	readonly name: LogEventName
 	readonly fields: Readonly<Record<string, LogValue>>
 }
 
-/** What a field of a log line may hold. @public */
+/** Value of a field of a log event. @public */
 export type LogValue = string | number | boolean | readonly string[]
--- a/packages/core/src/lib/router/PeerMessage.ts
+++ b/packages/core/src/lib/router/PeerMessage.ts
@@ -7,122 +7,123 @@
 import type { Amount } from '../units.js'
 import type { LoadReport } from './LoadReport.js'
 
-/** One budget's line in an ask to the keeper. @public */
+/** Request of a box to the zone leader for tokens of one budget, with its counters. @public */
 export interface GrantRequestRow {
 	readonly budget: BudgetName
-	/** Money wanted beyond what was granted so far, to cover the horizon. */
+	/** Tokens wanted beyond the amount granted so far. */
 	readonly want: Amount
-	/** The part of it that waiting requests lack. Only for this is idle money recalled elsewhere. */
+	/** The part of `want` that waiting requests need. Idle tokens of other boxes are recalled only for this part. */
 	readonly need: Amount
 	readonly counters: SliceCounters
 }
 
-/** One budget's line in the keeper's answer. @public */
+/** Grant of the zone leader for one budget, with the counters of the box in the ledger. @public */
 export interface GrantRow {
 	readonly budget: BudgetName
-	/** Cumulative grant. */
+	/** Total amount granted. */
 	readonly granted: Amount
-	/** What the ledger has noted as returned and as billed by this box. */
+	/** Amount returned by the box, according to the ledger. */
 	readonly returned: Amount
+	/** Amount billed by the box, according to the ledger. */
 	readonly billed: Amount
-	/** True where neither the zone nor the other zones can give more now. */
+	/** True if neither this zone nor the other zones can provide more tokens now. */
 	readonly dry: boolean
 }
 
-/** Idle money that the keeper wants back. @public */
+/** Amount of idle tokens that the zone leader recalls. @public */
 export interface RecallRow {
 	readonly budget: BudgetName
 	readonly amount: Amount
 }
 
-/** Members of another zone, as the keeper last read them. @public */
+/** Members of another zone, as last read by the zone leader. @public */
 export interface ZoneMembers {
 	readonly zone: ZoneName
 	readonly view: number
 	readonly members: readonly Member[]
 }
 
-/** Everything that boxes of a zone say to each other. @public */
+/** Messages between the boxes of a zone. @public */
 export type PeerMessage =
-	/** Box to keeper: I am alive. */
+	/** Box to zone leader: liveness and state of the box. */
 	| {
 			readonly kind: 'heartbeat'
 			readonly member: Member
 			readonly view: number
 			readonly bundleVersion: number
-			/** True once a planned stop has nothing left to finish: the box may be dropped. */
+			/** True once a stopping box has nothing left to finish and may be removed from the view. */
 			readonly drained: boolean
 	  }
-	/** Keeper to box: what the zone is. */
+	/** Zone leader to box: state of the zone. */
 	| {
 			readonly kind: 'digest'
-			/** Absent where the receiver holds it already. */
+			/** Absent if the receiver already has it. */
 			readonly view?: ZoneView
 			readonly keeper: Member
-			/** Revision at which the keeper took its lease; the higher term wins. */
+			/** Platform revision at which the leader was elected. Digests of lower terms are ignored. */
 			readonly term: number
-			/** True where the keeper gives its role up: the next one may take it at once. */
+			/** True if the leader resigns, so that another box may take over immediately. */
 			readonly resigned: boolean
 			readonly platformUp: boolean
 			readonly bundleVersion: number
-			/** Other zones; only those that changed since the last digest to the receiver. */
+			/** All other zones, if any changed since the last digest to the receiver; otherwise empty. */
 			readonly zones: readonly ZoneMembers[]
-			/** Load reports that came in since the last digest. */
+			/** Load reports received since the last digest. */
 			readonly reports: readonly LoadReport[]
-			/** Targets that the platform's list calls leaving. */
+			/** Targets that are leaving according to the list on the platform. */
 			readonly leavingTargets: readonly TargetName[]
 	  }
-	/** Owner to witness. */
+	/** Box to the holder of its replica: a batch of changes. */
 	| { readonly kind: 'log'; readonly batch: ReplicationBatch }
-	/** Witness to owner. */
+	/** Acknowledges a batch. */
 	| {
 			readonly kind: 'log-ack'
 			readonly incarnation: Incarnation
 			readonly view: number
 			readonly seq: number
 	  }
-	/** Witness to owner: your incarnation is no member of the current view. */
+	/** Reply to a batch of an incarnation that is not a member of the current view. */
 	| { readonly kind: 'fenced'; readonly incarnation: Incarnation; readonly view: ZoneView }
-	/** Box to keeper. */
+	/** Box to zone leader: requests for tokens and counters. */
 	| {
 			readonly kind: 'ask'
 			readonly incarnation: Incarnation
 			readonly rows: readonly GrantRequestRow[]
 	  }
-	/** Keeper to box. */
+	/** Zone leader to box: grants. */
 	| {
 			readonly kind: 'grant'
 			readonly incarnation: Incarnation
 			readonly rows: readonly GrantRow[]
 	  }
-	/** Keeper to box: give idle money of these budgets back. */
+	/** Zone leader to box: idle tokens to return. */
 	| { readonly kind: 'recall'; readonly rows: readonly RecallRow[] }
-	/** Witness to keeper: what an incarnation that is gone may have drawn. */
+	/** Holder of a replica to zone leader: bounds on what a removed incarnation has drawn. */
 	| {
 			readonly kind: 'testimony'
 			readonly box: BoxName
 			readonly incarnation: Incarnation
 			readonly rows: readonly { readonly budget: BudgetName; readonly testimony: ReplicaReport }[]
 	  }
-	/** Keeper to witness: the testimony is in the ledger. */
+	/** Zone leader to holder of a replica: its report is in the ledger. */
 	| { readonly kind: 'testimony-ack'; readonly box: BoxName; readonly incarnation: Incarnation }
-	/** A returned incarnation to the keeper: I drew no more than what was billed. */
+	/** New incarnation to zone leader: final counters of its fenced predecessor. */
 	| {
 			readonly kind: 'confess'
 			readonly box: BoxName
 			readonly incarnation: Incarnation
 			readonly rows: readonly GrantRequestRow[]
 	  }
-	/** Keeper to the new incarnation: the confession is in the ledger. */
+	/** Zone leader to new incarnation: the final counters are in the ledger. */
 	| { readonly kind: 'confess-ack'; readonly incarnation: Incarnation }
-	/** Box to box: I lack money and the platform cannot be reached. */
+	/** Box to box: request for tokens that the zone leader cannot grant. */
 	| {
 			readonly kind: 'transfer-ask'
 			readonly incarnation: Incarnation
 			readonly budget: BudgetName
 			readonly amount: Amount
 	  }
-	/** Box to box: cumulative amount sent to you. */
+	/** Box to box: total amount transferred to the receiver. */
 	| {
 			readonly kind: 'transfer'
 			readonly incarnation: Incarnation
@@ -130,16 +131,16 @@
 			readonly budget: BudgetName
 			readonly cumulative: Amount
 	  }
-	/** Old holder of records to the new owner. */
+	/** Previous holder of records to the new owner of their keys. */
 	| {
 			readonly kind: 'handoff'
 			readonly view: number
-			/** The box whose records these are: the sender, or the one it was witness of. */
+			/** Box that owned the keys of the records: the sender, or a box whose replica it held. */
 			readonly source: BoxName
 			readonly records: readonly IdempotencyRecord[]
 			readonly losses: readonly RecordLoss[]
 	  }
 	| { readonly kind: 'handoff-ack'; readonly view: number; readonly source: BoxName }
 
-/** The last word of an incarnation that was fenced off. @public */
+/** Final counters of a fenced incarnation. @public */
 export type FinalCountersMessage = Extract<PeerMessage, { kind: 'confess' }>
--- a/packages/core/src/lib/router/RouterCore.ts
+++ b/packages/core/src/lib/router/RouterCore.ts
@@ -27,13 +27,13 @@
 import type { CoreEvent } from './CoreEvent.js'
 import type { FinalCountersMessage, PeerMessage } from './PeerMessage.js'
 
-/** All protections of a core; each can be switched off to show that the tests notice. @public */
+/** Protections of a core, each of which a test can switch off. @public */
 export interface Protections extends SliceProtections, RequestProtections {
-	/** Stop acting once the view no longer has this incarnation. */
+	/** Stop this incarnation once it is no longer a member of the view. */
 	readonly fencing: boolean
 }
 
-/** Every protection on. @public */
+/** Enables all protections. @public */
 export const ALL_PROTECTIONS: Protections = {
 	...ALL_REQUEST_PROTECTIONS,
 	watermark: true,
@@ -47,13 +47,13 @@
 export interface RouterCoreOptions {
 	readonly protections: Protections
 	readonly pick: PickOptions
-	/** Throw on a broken invariant instead of logging it; for tests and long runs. */
+	/** Throw an invariant violation instead of logging it. For tests. */
 	readonly throwOnViolation: boolean
-	/** Last word of the incarnation before, if it was fenced off. */
+	/** Final counters of the previous incarnation, if it was fenced. */
 	readonly finalCounters: FinalCountersMessage | undefined
 }
 
-/** Options in production. @public */
+/** Default options. @public */
 export const DEFAULT_CORE_OPTIONS: RouterCoreOptions = {
 	protections: ALL_PROTECTIONS,
 	pick: DEFAULT_PICK_OPTIONS,
@@ -62,9 +62,9 @@
 }
 
 /**
- * All decisions of a router. Events go in, actions come out; it has no clock, sockets or random
- * numbers of its own, so that the same code runs in the daemon, in a test and under a bench that
- * owns time.
+ * Makes all decisions of a router as a deterministic state machine: takes events and returns actions for its shell, the
+ * process around it. Time and random numbers are passed in, so that the same code runs in the daemon, in tests and in
+ * simulations.
  * @public
  */
 export class RouterCore {
@@ -90,18 +90,18 @@
 	constructor(self: BoxConfig, random: RandomSource, options: Partial<RouterCoreOptions> = {}) {
 		this.options = { ...DEFAULT_CORE_OPTIONS, ...options }
 		this.finalCounters = this.options.finalCounters
-		const board: Blackboard = createBlackboard()
+		const blackboard: Blackboard = createBlackboard()
 		const { protections } = this.options
-		this.blackboard = board
-		this.context = new CoreContext(self, board, random)
-		this.config = new ConfigController(this.context, board.config)
-		this.slices = new SliceController(this.context, board.slices, protections)
+		this.blackboard = blackboard
+		this.context = new CoreContext(self, blackboard, random)
+		this.config = new ConfigController(this.context, blackboard.config)
+		this.slices = new SliceController(this.context, blackboard.slices, protections)
 		this.idempotency = new IdempotencyController(
 			this.context,
-			board.idempotency,
-			{ onSealed: (copy) => this.onReplicaSealed(copy) },
+			blackboard.idempotency,
+			{ onSealed: (replica) => this.onReplicaSealed(replica) },
 			{
-				budgets: () => board.slices.ledger.budgets(),
+				budgets: () => blackboard.slices.ledger.budgets(),
 				sliceRow: (budget, watermark) => this.slices.sliceRow(budget, watermark),
 				onAcknowledged: (row) => this.slices.onAcknowledged(row),
 				onNewerView: (view) => this.membership.applyView(view),
@@ -109,26 +109,26 @@
 		)
 		this.slices.replicationLog = this.idempotency.replicationLog
 		this.zoneLeader = new ZoneLeaderController(this.context)
-		this.targets = new TargetController(this.context, board.targets, this.options.pick)
+		this.targets = new TargetController(this.context, blackboard.targets, this.options.pick)
 		this.requests = new RequestController({
 			context: this.context,
-			store: new RunStore(this.context, board.requests),
+			store: new RunStore(this.context, blackboard.requests),
 			idempotency: this.idempotency,
 			slices: this.slices,
 			targets: this.targets,
 			protections,
 		})
-		this.membership = this.createMembership(board)
+		this.membership = this.createMembership(blackboard)
 	}
 
-	/** True where callers may be sent here. */
+	/** True if this box can serve callers. */
 	isReady(): boolean {
 		const { config, members } = this.blackboard
-		const settled = isServingMember(this.blackboard, this.context.self)
-		return config.index !== undefined && settled && !members.isStopping
+		const isServing = isServingMember(this.blackboard, this.context.self)
+		return config.index !== undefined && isServing && !members.isStopping
 	}
 
-	/** Takes one event; returns what the shell has to do. */
+	/** Handles an event and returns the actions for the shell. */
 	handle(event: CoreEvent, now: Millis): CoreAction[] {
 		this.context.now = now
 		if (this.isFenced || this.hasExited) return []
@@ -144,7 +144,7 @@
 		return this.context.takeActions()
 	}
 
-	/** A request whose handling would have broken an invariant is answered, and not called not run. */
+	/** Refuses a request whose handling violated an invariant, as one that may have run. */
 	private refuseAfterViolation(event: CoreEvent): void {
 		if (event.kind !== 'request') return
 		const { callId } = event.request
@@ -152,8 +152,8 @@
 		this.context.emit({ kind: 'refuse', callId, refusal })
 	}
 
-	private createMembership(board: Blackboard): MembershipController {
-		return new MembershipController(this.context, board.members, board.roles, {
+	private createMembership(blackboard: Blackboard): MembershipController {
+		return new MembershipController(this.context, blackboard.members, blackboard.roles, {
 			onViewChange: (before, after) => this.onViewChange(before, after),
 			onFenced: () => this.fence(),
 			onLeaderChange: () => this.zoneLeader.onLeaderChange(),
@@ -288,38 +288,38 @@
 		this.idempotency.onViewChange(before, after)
 	}
 
-	/** As witness of an incarnation that is gone: testify until the ledger has it. */
-	private onReplicaSealed(copy: BoxReplica): void {
-		this.pendingReplicaReports.set(`${copy.box}#${copy.incarnation}`, {
-			replica: copy,
+	/** Queues the report of a sealed replica, which is sent until the zone leader acknowledges it. */
+	private onReplicaSealed(replica: BoxReplica): void {
+		this.pendingReplicaReports.set(`${replica.box}#${replica.incarnation}`, {
+			replica,
 			sentAt: -Infinity,
 		})
 	}
 
 	private sendReplicaReports(): void {
-		const { leader: keeper } = this.blackboard.members
-		if (!keeper) return
+		const { leader } = this.blackboard.members
+		if (!leader) return
 		for (const entry of this.pendingReplicaReports.values()) {
 			if (this.context.now - entry.sentAt < this.context.self.timing.heartbeatPeriodMs) continue
 			entry.sentAt = this.context.now
 			const { box, incarnation } = entry.replica
-			const rows = [...entry.replica.replicaReports()].map(([budget, testimony]) => {
-				return { budget, testimony }
+			const rows = [...entry.replica.replicaReports()].map(([budget, report]) => {
+				return { budget, testimony: report }
 			})
-			this.context.send(keeper, { kind: 'testimony', box, incarnation, rows })
+			this.context.send(leader, { kind: 'testimony', box, incarnation, rows })
 		}
 	}
 
 	private sendFinalCounters(): void {
-		const { leader: keeper } = this.blackboard.members
-		const due =
+		const { leader } = this.blackboard.members
+		const isDue =
 			this.context.now - this.finalCountersSentAt >= this.context.self.timing.heartbeatPeriodMs
-		if (!keeper || !this.finalCounters || !due) return
+		if (!leader || !this.finalCounters || !isDue) return
 		this.finalCountersSentAt = this.context.now
-		this.context.send(keeper, this.finalCounters)
+		this.context.send(leader, this.finalCounters)
 	}
 
-	/** This incarnation is no member any more: it may finish nothing and starts anew. */
+	/** Stops this incarnation, which is no longer a member, and restarts the box as a new one. */
 	private fence(): void {
 		if (this.blackboard.members.isStopping && this.isDrained()) {
 			this.exit()
@@ -331,16 +331,17 @@
 		this.isFenced = true
 		const { box, incarnation } = this.context.self
 		const rows = this.slices.finalCounterRows()
-		const confession: FinalCountersMessage = { kind: 'confess', box, incarnation, rows }
+		const finalCounters: FinalCountersMessage = { kind: 'confess', box, incarnation, rows }
 		const retired = this.blackboard.members.view.retired.find((entry) => entry.box === box)
 		const after = retired?.incarnation ?? incarnation
-		this.context.emit({ kind: 'restart', finalCounters: confession, after })
+		this.context.emit({ kind: 'restart', finalCounters, after })
 	}
 
 	private isDrained(): boolean {
-		const { replicationLog: log } = this.idempotency
-		const safe = log.isSynced() && log.isDurable(log.lastPosition())
-		return this.requests.isIdle() && this.slices.isAllReturned() && safe
+		const { replicationLog } = this.idempotency
+		const isReplicated =
+			replicationLog.isSynced() && replicationLog.isDurable(replicationLog.lastPosition())
+		return this.requests.isIdle() && this.slices.isAllReturned() && isReplicated
 	}
 
 	private advanceStop(): void {
