--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions of a stallwing router: pure, deterministic, without sockets or clocks. */
+/** Decision logic of a stallwing router: deterministic, without sockets or clocks. */
 export {
 	NO_REVISION,
 	compareRevisions,
--- a/packages/core/src/lib/controllers/IdempotencyController.ts
+++ b/packages/core/src/lib/controllers/IdempotencyController.ts
@@ -44,7 +44,7 @@
 	readonly logPosition: LogPosition
 }
 
-interface PendingHandOver {
+interface PendingHandoff {
 	readonly view: number
 	readonly source: BoxName
 	readonly members: readonly Member[]
@@ -67,7 +67,7 @@
 	/** Received handoffs, which are acknowledged once the replica of this box holds their records. */
 	private readonly pendingAcks: PendingHandoffAck[] = []
 	/** Handoffs that this box sends once it holds all records of earlier views. */
-	private readonly pendingHandOvers: PendingHandOver[] = []
+	private readonly pendingHandoffs: PendingHandoff[] = []
 	private appliedView = 0
 	private lastExpiryAt: Millis = 0
 
@@ -226,7 +226,7 @@
 			else this.reportLoss(number - 1, source, oldMembers)
 		}
 		if (hasIncarnation(oldMembers, self, this.context.self.incarnation))
-			this.queueHandOver(number, self, members)
+			this.queueHandoffs(number, self, members)
 	}
 
 	private isSelf(member: Member): boolean {
@@ -234,7 +234,7 @@
 		return member.box === box && member.incarnation === incarnation
 	}
 
-	/** Merges the replica of a removed incarnation into the records of this box and hands them over to their new owners. */
+	/** Merges the replica of a removed incarnation into the records of this box and sends them to their new owners. */
 	private sealReplica(
 		number: number,
 		source: Member,
@@ -244,7 +244,7 @@
 		const replica = this.replicas.get(entryKey(source.box, source.incarnation))
 		if (!replica || replica.viewNumber !== number - 1) {
 			this.reportLoss(number - 1, source, oldMembers)
-			this.queueHandOver(number, source.box, members)
+			this.queueHandoffs(number, source.box, members)
 			return
 		}
 		for (const loss of replica.losses.values()) this.addLoss(loss)
@@ -255,21 +255,21 @@
 			records: replica.records.size,
 		})
 		this.hooks.onSealed(replica)
-		this.queueHandOver(number, source.box, members)
+		this.queueHandoffs(number, source.box, members)
 	}
 
-	private queueHandOver(view: number, source: BoxName, members: readonly Member[]): void {
-		this.pendingHandOvers.push({ view, source, members })
+	private queueHandoffs(view: number, source: BoxName, members: readonly Member[]): void {
+		this.pendingHandoffs.push({ view, source, members })
 	}
 
 	/**
 	 * Sends the handoffs that are due. The receiver takes a handoff as complete, so this box sends none until the records
 	 * of earlier views have arrived or are known to be lost.
 	 */
-	private sendPendingHandOvers(): void {
-		while (this.pendingHandOvers[0] && !this.awaitsEarlierRecords(this.pendingHandOvers[0].view)) {
-			const handOver = this.pendingHandOvers.shift()
-			if (handOver) this.sendHandOver(handOver)
+	private sendPendingHandoffs(): void {
+		while (this.pendingHandoffs[0] && !this.awaitsEarlierRecords(this.pendingHandoffs[0].view)) {
+			const handoff = this.pendingHandoffs.shift()
+			if (handoff) this.sendHandoffs(handoff)
 		}
 	}
 
@@ -278,7 +278,7 @@
 		return false
 	}
 
-	private sendHandOver({ view, source, members }: PendingHandOver): void {
+	private sendHandoffs({ view, source, members }: PendingHandoff): void {
 		const losses = [...this.losses.values()]
 		const records = [...this.section.records.values()]
 		for (const member of members) {
@@ -336,7 +336,7 @@
 	}
 
 	private updateCompleteness(): void {
-		this.sendPendingHandOvers()
+		this.sendPendingHandoffs()
 		const hasAllRecords = this.appliedView > 0 && this.awaitedSources.size === 0
 		if (hasAllRecords && !this.section.hasAllRecords)
 			this.context.log('handoff-done', { view: this.appliedView })
--- a/packages/core/src/lib/controllers/MembershipController.ts
+++ b/packages/core/src/lib/controllers/MembershipController.ts
@@ -76,7 +76,7 @@
 		this.lastHeartbeatAt = -Infinity
 	}
 
-	/** Drops the lease of the leader, so that another box can take over immediately. */
+	/** Resigns as the leader and drops the lease, so that another box can take over immediately. */
 	resign(): void {
 		if (!this.leaseId) return
 		this.isResigning = true
@@ -249,7 +249,7 @@
 			return
 		this.lastLeaderQueryAt = this.context.now
 		this.pendingCalls.leader = true
-		this.context.callPlatform({ kind: 'get', key: zoneKeys.keeper(zone) }, (result) => {
+		this.context.callPlatform({ kind: 'get', key: zoneKeys.leader(zone) }, (result) => {
 			this.pendingCalls.leader = false
 			if (result.kind === 'value') this.followLeader(result.value as Member, result.revision)
 			if (result.kind === 'absent' && this.canBecomeLeader()) this.createLease()
@@ -275,7 +275,7 @@
 
 	private claimLeadership(lease: string): void {
 		this.pendingCalls.leader = true
-		const key = zoneKeys.keeper(this.context.self.zone)
+		const key = zoneKeys.leader(this.context.self.zone)
 		const op = { kind: 'cas', key, expected: 0, value: this.ownMember(), lease } as const
 		this.context.callPlatform(op, (result) => {
 			this.pendingCalls.leader = false
--- a/packages/core/src/lib/membership/ZoneView.ts
+++ b/packages/core/src/lib/membership/ZoneView.ts
@@ -144,7 +144,7 @@
 /** Platform keys of a zone. @public */
 export const zoneKeys = {
 	view: (zone: ZoneName) => `zones/${zone}/view`,
-	keeper: (zone: ZoneName) => `zones/${zone}/keeper`,
+	leader: (zone: ZoneName) => `zones/${zone}/keeper`,
 	ledger: (zone: ZoneName, shard: number) => `zones/${zone}/ledger/${shard}`,
 }
 
--- a/packages/core/src/lib/requests/RunAdmission.ts
+++ b/packages/core/src/lib/requests/RunAdmission.ts
@@ -79,7 +79,7 @@
 		})
 	}
 
-	/** Refuses a waiting run and releases what it holds. The refusal excludes a run only if no attempt may have run. */
+	/** Refuses a waiting run and releases what it holds. Reports it as not run only if no attempt may have run. */
 	refuse(run: Run, type: RefusalType, message: string, retryAfterMs?: Millis): void {
 		this.release(run)
 		const createRefusal = run.mayHaveRun ? maybeRun : notRun
--- a/packages/core/src/lib/router/Blackboard.ts
+++ b/packages/core/src/lib/router/Blackboard.ts
@@ -25,7 +25,7 @@
 	isPlatformUp: boolean
 	/** True from the start of a planned stop. */
 	isStopping: boolean
-	/** Time of the last digest of the leader, in Unix ms. */
+	/** Time at which the leader was last known to be alive, in Unix ms. */
 	leaderSeenAt: Millis
 }
 
--- a/packages/core/src/lib/router/CoreEvent.ts
+++ b/packages/core/src/lib/router/CoreEvent.ts
@@ -48,7 +48,7 @@
 	| { readonly kind: 'not-sent'; readonly reason: string }
 	/** The target refused the request and did not run it. */
 	| { readonly kind: 'rejected'; readonly status: number; readonly retryAfterMs?: Millis }
-	/** The answer was truncated or invalid. `outputTokens` counts the output received. */
+	/** The answer was truncated or invalid. `outputTokens` is the output known to have been generated. */
 	| {
 			readonly kind: 'broken'
 			readonly reason: string
@@ -68,7 +68,7 @@
 	| {
 			readonly kind: 'relay-failed'
 			readonly callId: CallId
-			/** True if no byte of the request was sent, or the other box refused it unrun. */
+			/** True if no byte of the request was sent, or the other box refused it without running it. */
 			readonly notRun: boolean
 	  }
 	| {
