--- a/packages/gateway/src/lib/CrashDetector.test.ts
+++ b/packages/gateway/src/lib/CrashDetector.test.ts
@@ -15,23 +15,23 @@
 const TARGET = { ...targetEntryOf('t1', '127.0.0.1:1'), bornAt: 1 }
 const REQUEST = { fingerprint: brandId<RequestFingerprint>('f'), hint: 1 }
 
-describe('CrashWatch', () => {
+describe('CrashDetector', () => {
 	let quarantine: RequestQuarantine
-	let watch: CrashDetector
-	let logged: LogEvent[]
+	let detector: CrashDetector
+	let logEvents: LogEvent[]
 	let now: number
-	let listed: boolean
+	let isAvailable: boolean
 	let result: ProbeResult
 	let probes: number
 
 	beforeEach(() => {
 		quarantine = new RequestQuarantine()
-		logged = []
+		logEvents = []
 		now = 100
-		listed = true
+		isAvailable = true
 		result = 'accepted'
 		probes = 0
-		watch = new CrashDetector({
+		detector = new CrashDetector({
 			quarantine,
 			pool: () =>
 				({
@@ -40,104 +40,104 @@
 						return Promise.resolve(result)
 					},
 				}) as Partial<ConnectionPool> as ConnectionPool,
-			isAvailable: () => listed,
+			isAvailable: () => isAvailable,
 			onRecordChanged: () => undefined,
 			metrics: new Metrics(),
 			now: () => now,
-			log: (event) => logged.push(event),
+			log: (event) => logEvents.push(event),
 		})
 	})
 
-	function broken(more: Partial<BrokenRun> = {}): Promise<void> {
-		return watch.noteBrokenRun({
+	function interruptRun(overrides: Partial<BrokenRun> = {}): Promise<void> {
+		return detector.noteBrokenRun({
 			identity: REQUEST,
 			target: TARGET,
 			startedAt: now - 60,
 			closedByTarget: true,
-			...more,
+			...overrides,
 		})
 	}
 
-	function lives(): number {
+	function crashCount(): number {
 		return quarantine.all[0]?.runs.length ?? 0
 	}
 
-	it('holds the end of a target against a request that it ran', async () => {
+	it('records a crash for a request that ran on a crashed target', async () => {
 		result = 'refused'
-		await broken()
+		await interruptRun()
 		expect(quarantine.all[0]?.runs).toEqual([
 			{ incarnation: incarnationOf(TARGET), startedAt: 40, endedAt: 100 },
 		])
-		expect(logged.map((event) => event.name)).toEqual(['target-ended', 'request-suspected'])
+		expect(logEvents.map((event) => event.name)).toEqual(['target-ended', 'request-suspected'])
 	})
 
-	it('holds nothing against a request whose target still takes connections', async () => {
-		await broken()
+	it('records nothing if the target still accepts connections', async () => {
+		await interruptRun()
 		expect(quarantine.all).toEqual([])
 	})
 
-	it('holds nothing against a request that a planned end cut off', async () => {
+	it('records nothing for a request that a planned shutdown interrupted', async () => {
 		result = 'refused'
-		listed = false
-		await broken()
+		isAvailable = false
+		await interruptRun()
 		expect(quarantine.all).toEqual([])
 		expect(probes).toBe(0)
 	})
 
-	it('asks once where many answers break off together, and holds it against each', async () => {
+	it('probes once if several responses are interrupted together, and records a crash for each request', async () => {
 		result = 'refused'
 		const other = { fingerprint: brandId<RequestFingerprint>('g'), hint: 2 }
-		await Promise.all([broken(), broken({ identity: other }), broken()])
+		await Promise.all([interruptRun(), interruptRun({ identity: other }), interruptRun()])
 		expect(probes).toBe(1)
 		expect(quarantine.all).toHaveLength(2)
-		// Known to be over: the next one needs no connection.
-		await broken({ identity: { fingerprint: brandId<RequestFingerprint>('h'), hint: 3 } })
+		// The incarnation is known to have ended, so the next interrupted run needs no probe.
+		await interruptRun({ identity: { fingerprint: brandId<RequestFingerprint>('h'), hint: 3 } })
 		expect(probes).toBe(1)
 		expect(quarantine.all).toHaveLength(3)
 	})
 
-	it('learns from the list that a silent target ended, within some seconds', async () => {
-		await broken({ closedByTarget: false })
+	it('detects from the target list that an unresponsive target crashed, within the retention period', async () => {
+		await interruptRun({ closedByTarget: false })
 		expect(probes).toBe(0)
-		expect(lives()).toBe(0)
+		expect(crashCount()).toBe(0)
 		now += 4_000
-		watch.noteTargetChanges([TARGET], [])
-		expect(lives()).toBe(1)
-		await broken({ closedByTarget: false, target: { ...TARGET, bornAt: 2 } })
+		detector.noteTargetChanges([TARGET], [])
+		expect(crashCount()).toBe(1)
+		await interruptRun({ closedByTarget: false, target: { ...TARGET, bornAt: 2 } })
 		now += PENDING_RUN_RETENTION_MS + 1
-		watch.noteTargetChanges([{ ...TARGET, bornAt: 2 }], [])
-		expect(lives()).toBe(1)
+		detector.noteTargetChanges([{ ...TARGET, bornAt: 2 }], [])
+		expect(crashCount()).toBe(1)
 	})
 
-	it('holds an end against a request whose answer breaks off after the new start was heard of', async () => {
-		watch.noteTargetChanges([TARGET], [])
-		listed = false
-		await broken({ closedByTarget: false })
-		expect(lives()).toBe(1)
+	it('records a crash for a request whose response is interrupted after the restart is known', async () => {
+		detector.noteTargetChanges([TARGET], [])
+		isAvailable = false
+		await interruptRun({ closedByTarget: false })
+		expect(crashCount()).toBe(1)
 	})
 
-	it('holds nothing against a request whose target was there after its answer broke off, and ended later', async () => {
-		await broken()
+	it('records nothing if the target accepted a probe after the interruption and restarted later', async () => {
+		await interruptRun()
 		now += 1_000
-		watch.noteTargetChanges([TARGET], [])
-		expect(lives()).toBe(0)
+		detector.noteTargetChanges([TARGET], [])
+		expect(crashCount()).toBe(0)
 	})
 
-	it('holds nothing against a request whose answer broke off long before the target ended', async () => {
+	it('records nothing for a response interrupted longer than the retention period ago', async () => {
 		result = 'no-answer'
-		await broken()
+		await interruptRun()
 		now += PENDING_RUN_RETENTION_MS + 1
 		result = 'refused'
 		const other = { fingerprint: brandId<RequestFingerprint>('g'), hint: 2 }
-		await broken({ identity: other })
+		await interruptRun({ identity: other })
 		expect(quarantine.all.map((record) => record.fingerprint)).toEqual(['g'])
 	})
 
-	it('takes a target that left as planned for no end', async () => {
-		await broken({ closedByTarget: false })
-		watch.noteTargetChanges([], [{ ...TARGET, leaving: true }])
-		expect(lives()).toBe(0)
-		watch.noteTargetChanges([], [TARGET])
-		expect(lives()).toBe(1)
+	it('does not treat the removal of a leaving target as a crash', async () => {
+		await interruptRun({ closedByTarget: false })
+		detector.noteTargetChanges([], [{ ...TARGET, leaving: true }])
+		expect(crashCount()).toBe(0)
+		detector.noteTargetChanges([], [TARGET])
+		expect(crashCount()).toBe(1)
 	})
 })
--- a/packages/gateway/src/lib/CrashDetector.ts
+++ b/packages/gateway/src/lib/CrashDetector.ts
@@ -11,30 +11,29 @@
 import type { Metrics } from '@stallwing/telemetry'
 import type { ConnectionPool, ProbeResult } from './ConnectionPool.js'
 
-/** What a {@link CrashDetector} works with. */
 export interface CrashDetectorOptions {
 	readonly quarantine: RequestQuarantine
 	readonly pool: (target: TargetEntry) => ConnectionPool
-	/** True where this life of the target is listed and does not leave. */
-	readonly isAvailable: (life: TargetIncarnation, target: TargetName) => boolean
-	/** What is known of a request has changed. */
+	/** Returns true if this incarnation of the target is listed and is not leaving. */
+	readonly isAvailable: (incarnation: TargetIncarnation, target: TargetName) => boolean
+	/** Called when the crash record of a request has changed. */
 	readonly onRecordChanged: (record: CrashRecord) => void
 	readonly metrics: Metrics
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly log: (event: LogEvent) => void
 }
 
-/** A run whose answer broke off. */
+/** A run whose response was interrupted. */
 export interface BrokenRun {
 	readonly identity: RequestIdentity
 	readonly target: TargetEntry
 	readonly startedAt: number
-	/** The other side closed the connection; otherwise this box gave up on it. */
+	/** True if the target closed the connection, false if this box aborted the run. */
 	readonly closedByTarget: boolean
 }
 
-/** What shows that a target ended. */
+/** How a crash was detected. */
 type CrashSign = 'refuses connections' | 'started again' | 'no longer listed'
 
 interface PendingRun extends BrokenRun {
@@ -42,36 +41,41 @@
 }
 
 /**
- * How long a run whose answer broke off may turn out to be that of a target that ended, in ms: its entry goes after
- * three missing heartbeats, or it is back under its name by then.
+ * * Time for which an interrupted run is kept in case its target turns out to have crashed, in ms. Within this time
+ * the target's entry expires after three missed heartbeats, or the target restarts under its name.
  */
 const PENDING_RUN_RETENTION_MS = 10_000
-/** Broken runs that are kept for that, at most; the oldest give way. */
+/** Pending runs; the oldest are evicted first. */
 const MAX_PENDING_RUNS = 2_000
-/** Lives that are known to be over, at most; the oldest give way. */
+/** Incarnations remembered as ended; the oldest are evicted first. */
 const MAX_ENDED_INCARNATIONS = 1_000
 
 /**
- * Tells the end of a target from other reasons for which an answer breaks off, and holds it against the requests that
- * the target ran. Where a connection was closed, a new one shows at once whether the target is there: a refused one is
- * the end of it, an accepted one is kept for the next request. Where nothing answers, the list of targets tells later.
+ * * Distinguishes a crashed target from other reasons for an interrupted response, and records a crash for each
+ * request that the target was running. If the target closed the connection, a new connection shows at once whether
+ * the target still runs: a refused one means that it crashed, an accepted one goes to the pool. If the target does
+ * not answer the probe, a later change of the target list decides.
  */
 export class CrashDetector {
 	private pending: PendingRun[] = []
 	private readonly probes = new Map<TargetIncarnation, Promise<ProbeResult>>()
-	/** Lives that are over. */
+	/** Incarnations that are known to have ended. */
 	private readonly endedIncarnations = new Set<TargetIncarnation>()
 
 	constructor(private readonly options: CrashDetectorOptions) {}
 
-	/** An answer broke off. Resolves once it is known whether the target ended, as far as that can be known soon. */
+	/**
+	 * Records a run whose response was interrupted. Resolves after the immediate check whether the target has
+	 * crashed.
+	 */
 	async noteBrokenRun(run: BrokenRun): Promise<void> {
-		const { isAvailable: isListed, now } = this.options
-		const life = incarnationOf(run.target)
-		// A planned end cuts off what is still running: that is nobody's fault.
-		if (!isListed(life, run.target.name) && !this.endedIncarnations.has(life)) return
+		const { isAvailable, now } = this.options
+		const incarnation = incarnationOf(run.target)
+		// A planned shutdown also cuts off running requests, and is not a crash.
+		if (!isAvailable(incarnation, run.target.name) && !this.endedIncarnations.has(incarnation))
+			return
 		const broken: PendingRun = { ...run, endedAt: now() }
-		if (this.endedIncarnations.has(life)) {
+		if (this.endedIncarnations.has(incarnation)) {
 			this.recordCrash(broken)
 			return
 		}
@@ -80,60 +84,59 @@
 		if (!run.closedByTarget) return
 		const result = await this.probe(run.target)
 		if (result === 'refused') this.noteTargetCrash(run.target, 'refuses connections')
-		if (result === 'accepted') this.pending = this.pending.filter((one) => one !== broken)
+		if (result === 'accepted') this.pending = this.pending.filter((other) => other !== broken)
 	}
 
-	/** The list of targets tells that lives are over: by a new start, or without a word of leaving. */
-	noteTargetChanges(restarted: readonly TargetEntry[], gone: readonly TargetEntry[]): void {
+	/** Treats targets that restarted, or that disappeared from the list without leaving first, as crashed. */
+	noteTargetChanges(restarted: readonly TargetEntry[], removed: readonly TargetEntry[]): void {
 		for (const entry of restarted) this.noteTargetCrash(entry, 'started again')
-		for (const entry of gone) if (!entry.leaving) this.noteTargetCrash(entry, 'no longer listed')
+		for (const entry of removed) if (!entry.leaving) this.noteTargetCrash(entry, 'no longer listed')
 	}
 
 	private probe(target: TargetEntry): Promise<ProbeResult> {
-		const life = incarnationOf(target)
-		const known = this.probes.get(life)
-		if (known) return known
+		const incarnation = incarnationOf(target)
+		const active = this.probes.get(incarnation)
+		if (active) return active
 		const probe = this.options.pool(target).probe()
-		this.probes.set(life, probe)
-		void probe.finally(() => this.probes.delete(life))
+		this.probes.set(incarnation, probe)
+		void probe.finally(() => this.probes.delete(incarnation))
 		return probe
 	}
 
 	private noteTargetCrash(target: TargetEntry, sign: CrashSign): void {
 		const { log, metrics } = this.options
 		this.dropExpiredRuns()
-		const life = incarnationOf(target)
-		const runs = this.pending.filter((run) => incarnationOf(run.target) === life)
-		// Answers may break off after the new start was heard of. An entry that goes may be that of a planned end.
-		if (runs.length > 0 || sign === 'started again') this.addEndedIncarnation(life)
+		const incarnation = incarnationOf(target)
+		const runs = this.pending.filter((run) => incarnationOf(run.target) === incarnation)
+		// A response may still be interrupted after the restart is known. A removed entry may be a planned shutdown.
+		if (runs.length > 0 || sign === 'started again') this.addEndedIncarnation(incarnation)
 		if (runs.length === 0) return
 		this.pending = this.pending.filter((run) => !runs.includes(run))
 		metrics.count('stallwing_targets_ended_total', `sign="${sign}"`)
-		log({ name: 'target-ended', fields: { life, sign, requests: runs.length } })
+		log({ name: 'target-ended', fields: { life: incarnation, sign, requests: runs.length } })
 		for (const run of runs) this.recordCrash(run)
 	}
 
-	private addEndedIncarnation(life: TargetIncarnation): void {
-		this.endedIncarnations.add(life)
+	private addEndedIncarnation(incarnation: TargetIncarnation): void {
+		this.endedIncarnations.add(incarnation)
 		const [oldest] = this.endedIncarnations
 		if (this.endedIncarnations.size > MAX_ENDED_INCARNATIONS && oldest !== undefined)
 			this.endedIncarnations.delete(oldest)
 	}
 
-	private recordCrash({ identity, target, startedAt: beganAt, endedAt }: PendingRun): void {
-		const { log, now, onRecordChanged: onRecord, quarantine } = this.options
+	private recordCrash({ identity, target, startedAt, endedAt }: PendingRun): void {
+		const { log, now, onRecordChanged, quarantine } = this.options
 		const stageBefore = quarantine.stageOf(identity.fingerprint)
-		const life = incarnationOf(target)
-		const record = quarantine.recordCrash(
-			identity,
-			{ incarnation: life, startedAt: beganAt, endedAt },
-			now(),
-		)
+		const incarnation = incarnationOf(target)
+		const record = quarantine.recordCrash(identity, { incarnation, startedAt, endedAt }, now())
 		const stage = quarantine.stageOf(identity.fingerprint)
 		const { fingerprint } = identity
 		const lives = record.runs.length
-		log({ name: 'request-suspected', fields: { fingerprint, life, lives, stage, stageBefore } })
-		onRecord(record)
+		log({
+			name: 'request-suspected',
+			fields: { fingerprint, life: incarnation, lives, stage, stageBefore },
+		})
+		onRecordChanged(record)
 	}
 
 	private dropExpiredRuns(): void {
--- a/packages/gateway/src/lib/CrashProtection.ts
+++ b/packages/gateway/src/lib/CrashProtection.ts
@@ -15,10 +15,9 @@
 import { QuarantineStore } from './QuarantineStore.js'
 import type { RequestContent } from './RequestContent.js'
 
-/** What {@link CrashProtection} works with. */
 export interface CrashProtectionOptions {
 	readonly store: KeyValueStore
-	/** Key of the record of quarantined requests. */
+	/** Store key of the quarantined requests. */
 	readonly key: string
 	readonly registry: TargetRegistry
 	readonly pool: (target: TargetEntry) => ConnectionPool
@@ -26,50 +25,50 @@
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
 	readonly metrics: Metrics
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
-	/** Time of day, in ms. */
+	/** Wall clock, in ms since the epoch. */
 	readonly wallTime: () => number
 	readonly random: () => number
 	readonly log: (event: LogEvent) => void
 }
 
-/** Why a request isn't sent to a target now. */
+/** The reason why a request may not be sent to a target now. */
 export interface QuarantineHold {
 	readonly detail: string
-	/** When it may run again, as far as is known, in ms from now. */
+	/** Estimated time until the request may run again, in ms. */
 	readonly opensInMs: number
 }
 
-/** A quarantined request, as operators see it. @public */
+/** A quarantined request in the operator status. @public */
 export interface QuarantineStatus {
 	readonly fingerprint: RequestFingerprint
-	/** Lives of targets that ended under it. */
+	/** Incarnations of targets that crashed while they ran it. */
 	readonly lives: readonly string[]
-	/** Time since the last of them ended, in ms. */
+	/** Time since the last crash, in ms. */
 	readonly ageMs: number
-	/** Time until it may run again, in ms. */
+	/** Time until the request may run again, in ms. */
 	readonly heldMs: number
 }
 
-/** Pause asked for where a request on probation runs already, in ms: most runs are over by then. */
+/** Retry delay for a request on probation that is already running, in ms. */
 const PROBATION_RETRY_AFTER_MS = 1_000
 
 /**
- * Keeps requests that end their targets away from further ones, at all boxes: watches for targets that end, tells
- * other boxes, and keeps what is proved in the store.
+ * * Stops requests that crash targets from reaching further targets. Detects crashes, shares crash records with the
+ * other boxes and saves quarantined requests in the store.
  */
 export class CrashProtection {
 	private readonly quarantine = new RequestQuarantine()
 	private readonly crashDetector: CrashDetector
 	private readonly quarantineSharing: QuarantineSharing
 	private readonly quarantineStore: QuarantineStore
-	/** Runs under way of requests that something is known of. */
+	/** Number of active runs of each request that may have a crash record. */
 	private readonly activeRuns = new Map<RequestFingerprint, number>()
 
 	constructor(private readonly options: CrashProtectionOptions) {
 		const { quarantine } = this
-		const onHeard = (records: readonly CrashRecord[]): void => this.logReceived(records)
+		const onRecordsReceived = (records: readonly CrashRecord[]): void => this.logReceived(records)
 		this.crashDetector = new CrashDetector({
 			...options,
 			quarantine,
@@ -79,12 +78,12 @@
 		this.quarantineSharing = new QuarantineSharing({
 			...options,
 			quarantine,
-			onRecordsReceived: onHeard,
+			onRecordsReceived,
 		})
 		this.quarantineStore = new QuarantineStore({
 			...options,
 			quarantine,
-			onRecordsReceived: onHeard,
+			onRecordsReceived,
 		})
 	}
 
@@ -96,18 +95,20 @@
 		this.quarantineSharing.stop()
 	}
 
-	/** Lets go of what is old. To be called some times a second. */
+	/** Removes expired records. Must be called a few times a second. */
 	expireRecords(): void {
 		this.quarantine.expire(this.options.now())
 	}
 
-	/** Takes the record of the fleet from the store, and writes what it lacks. */
+	/** Merges the stored records of the fleet into those of this box, then saves the ones that the store lacks. */
 	applyStored(item: StoreItem | undefined): void {
 		this.quarantineStore.applyStored(item)
 		void this.quarantineStore.save()
 	}
 
-	/** Undefined where the request may be sent to a target. `isFirst`: no target got this try of it yet. */
+	/**
+	 * Returns undefined if the request may be sent to a target. `isFirst`: it has not been sent to any target yet.
+	 */
 	checkQuarantine(content: RequestContent, isFirst: boolean): QuarantineHold | undefined {
 		if (!this.quarantine.mayHaveRecord(content.hint)) return undefined
 		const { fingerprint } = content
@@ -119,51 +120,54 @@
 				detail,
 				opensInMs: this.quarantine.quarantineLeftMs(fingerprint, this.options.now()),
 			}
-		const isFree = isFirst && !this.activeRuns.has(fingerprint)
-		return isFree ? undefined : { detail, opensInMs: PROBATION_RETRY_AFTER_MS }
+		const mayRun = isFirst && !this.activeRuns.has(fingerprint)
+		return mayRun ? undefined : { detail, opensInMs: PROBATION_RETRY_AFTER_MS }
 	}
 
-	/** A run begins. Returns what is to be called at its end. */
+	/** Counts a run as active. The returned function must be called when the run ends. */
 	startRun(content: RequestContent): () => void {
 		if (!this.quarantine.mayHaveRecord(content.hint)) return () => undefined
 		const { fingerprint } = content
 		this.activeRuns.set(fingerprint, (this.activeRuns.get(fingerprint) ?? 0) + 1)
-		let isOver = false
+		let hasEnded = false
 		return () => {
-			if (isOver) return
-			isOver = true
-			const left = (this.activeRuns.get(fingerprint) ?? 0) - 1
-			if (left > 0) this.activeRuns.set(fingerprint, left)
+			if (hasEnded) return
+			hasEnded = true
+			const remaining = (this.activeRuns.get(fingerprint) ?? 0) - 1
+			if (remaining > 0) this.activeRuns.set(fingerprint, remaining)
 			else this.activeRuns.delete(fingerprint)
 		}
 	}
 
-	/** An answer broke off. Resolves once it is known whether its target ended, as far as that shows soon. */
+	/**
+	 * Records a run whose response was interrupted. Resolves after the immediate check whether the target has
+	 * crashed.
+	 */
 	noteBrokenRun(run: BrokenRun): Promise<void> {
 		return this.crashDetector.noteBrokenRun(run)
 	}
 
-	/** A target answered the request to the end. */
+	/** Records that a target answered the request completely, which clears its crash record. */
 	noteAnswered(content: RequestContent): void {
 		if (this.quarantine.mayHaveRecord(content.hint)) this.clear(content.fingerprint, 'answered')
 	}
 
-	/** An operator vouches for a request. False where nothing is held against it. */
+	/** Clears the crash record of a request on behalf of an operator. Returns false if there is none. */
 	release(fingerprint: RequestFingerprint): boolean {
 		return this.clear(fingerprint, 'released')
 	}
 
-	/** The list of targets has changed. */
-	noteTargetChanges(restarted: readonly TargetEntry[], gone: readonly TargetEntry[]): void {
-		this.crashDetector.noteTargetChanges(restarted, gone)
+	/** Checks changes of the target list for crashes. */
+	noteTargetChanges(restarted: readonly TargetEntry[], removed: readonly TargetEntry[]): void {
+		this.crashDetector.noteTargetChanges(restarted, removed)
 	}
 
-	/** Requests that something is known of. */
+	/** Number of requests with recorded crashes. */
 	get suspectCount(): number {
 		return this.quarantine.all.filter((record) => record.runs.length > 0).length
 	}
 
-	/** Quarantined requests, as operators see them. */
+	/** Quarantined requests for the operator status. */
 	get status(): readonly QuarantineStatus[] {
 		const now = this.options.now()
 		return this.quarantine.quarantined.map(({ changedAt, fingerprint, runs }) => ({
--- a/packages/gateway/src/lib/LeavingTargetSharing.test.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.test.ts
@@ -15,18 +15,17 @@
 
 const STARTED_AT = 1_800_000_000_000
 const READY: TargetEntry = { ...targetEntryOf('t', 'unused:1'), bornAt: STARTED_AT }
-/** Time from the word of a target to its end where nobody waits for the store, in ms. */
+/** Time between the notice that a target is leaving and its termination, in ms. */
 const SPOT_NOTICE_MS = 2_000
-/** Time that a request runs, and from its arrival to the head of its answer, in ms. */
 const REQUEST_DURATION_MS = 1_000
 const RESPONSE_HEADER_DELAY_MS = 40
-/** Requests a second for one target, as at a fleet of 500 boxes with 1,500 targets. */
+/** Request rate of one target in a fleet of 500 boxes with 1,500 targets. */
 const REQUESTS_PER_SECOND = 4
 
-/** Boxes of which the store is away: the list goes on calling the target ready. */
+/** Boxes without a store, so that the target list keeps showing the target as ready. */
 class Fleet {
 	datagramCount = 0
-	/** Datagrams are lost. */
+	/** All datagrams are lost. */
 	isPartitioned = false
 	readonly registries: readonly TargetRegistry[]
 	readonly logEvents: LogEvent[] = []
@@ -36,7 +35,7 @@
 	constructor(boxes: number) {
 		this.registries = Array.from({ length: boxes }, () => new TargetRegistry())
 		this.replaceEntries([READY])
-		this.sharings = this.registries.map((board, self) => this.makeSharing(board, self))
+		this.sharings = this.registries.map((registry, ownBox) => this.makeSharing(registry, ownBox))
 	}
 
 	stop(): void {
@@ -44,35 +43,35 @@
 	}
 
 	replaceEntries(entries: readonly TargetEntry[]): void {
-		for (const board of this.registries) board.replace(entries, Date.now())
+		for (const registry of this.registries) registry.replace(entries, Date.now())
 	}
 
-	/** A box reads in an answer that the target leaves. */
+	/** A box receives a response that says that the target is leaving. */
 	noteLeaving(box: number): void {
 		if (this.registries[box]?.noteLeaving(READY, Date.now())) this.sharings[box]?.share(READY)
 	}
 
 	isTargetAvailable(box: number): boolean {
-		const board = this.registries[box]
-		return board !== undefined && board.isAvailable(incarnationOf(READY), READY.name)
+		const registry = this.registries[box]
+		return registry !== undefined && registry.isAvailable(incarnationOf(READY), READY.name)
 	}
 
 	get availableBoxCount(): number {
 		return this.registries.filter((_, box) => this.isTargetAvailable(box)).length
 	}
 
-	private makeSharing(board: TargetRegistry, self: number): LeavingTargetSharing {
+	private makeSharing(registry: TargetRegistry, ownBox: number): LeavingTargetSharing {
 		const datagrams: Pick<PeerDatagrams, 'onMessage' | 'send'> = {
-			onMessage: (handler) => (this.handlers[self] = handler),
+			onMessage: (handler) => (this.handlers[ownBox] = handler),
 			send: (bytes, peer) => {
 				this.datagramCount++
 				if (!this.isPartitioned) setTimeout(() => this.handlers[Number(peer)]?.(bytes), 1)
 			},
 		}
 		return new LeavingTargetSharing({
-			registry: board,
+			registry,
 			datagrams: datagrams as PeerDatagrams,
-			peers: () => this.registries.flatMap((_, box) => (box === self ? [] : [String(box)])),
+			peers: () => this.registries.flatMap((_, box) => (box === ownBox ? [] : [String(box)])),
 			onTargetLeaving: () => undefined,
 			metrics: new Metrics(),
 			now: () => Date.now(),
@@ -81,7 +80,7 @@
 	}
 }
 
-describe('LeavingSharing', () => {
+describe('LeavingTargetSharing', () => {
 	let fleet: Fleet
 	beforeEach(() => vi.useFakeTimers())
 	afterEach(() => {
@@ -89,7 +88,7 @@
 		vi.useRealTimers()
 	})
 
-	it('tells all boxes of a target that leaves while the list calls it ready', () => {
+	it('tells all boxes about a leaving target that is listed as ready', () => {
 		fleet = new Fleet(8)
 		fleet.noteLeaving(3)
 		vi.advanceTimersByTime(200)
@@ -100,7 +99,7 @@
 		expect(fleet.datagramCount).toBe(7)
 	})
 
-	it('tells nothing where the list brings the same word, or the end, soon after', () => {
+	it('sends nothing if the list shows the target as leaving or removed soon after', () => {
 		for (const entries of [[{ ...READY, leaving: true, revision: { era: 1, number: 2 } }], []]) {
 			fleet = new Fleet(8)
 			fleet.noteLeaving(3)
@@ -111,7 +110,7 @@
 		}
 	})
 
-	it('says nothing of a later life', () => {
+	it('does not affect a later incarnation', () => {
 		fleet = new Fleet(2)
 		fleet.noteLeaving(0)
 		const later = { ...READY, bornAt: STARTED_AT + 5_000, revision: { era: 1, number: 2 } }
@@ -120,7 +119,7 @@
 		expect(fleet.registries[1]?.isAvailable(incarnationOf(later), later.name)).toBe(true)
 	})
 
-	it('leaves a box that was not reached to hear it from the target', () => {
+	it('lets an unreachable box learn it from the target', () => {
 		fleet = new Fleet(2)
 		fleet.isPartitioned = true
 		fleet.noteLeaving(0)
@@ -130,38 +129,38 @@
 		expect(fleet.isTargetAvailable(1)).toBe(false)
 	})
 
-	// Requests under way when the target ends break off. What each box hears by itself comes too late for some.
+	// Requests in progress at termination are interrupted. Without sharing, some boxes learn of it too late.
 	it.each([7, 75, 499])(
-		'spares requests a target that ends 2 s after its word, with %i boxes',
+		'sends no request that is still in progress when the target terminates 2 s after its notice, with %i boxes',
 		(boxes) => {
-			const brokenOff = (isApart: boolean): number => {
+			const interruptedRequests = (isPartitioned: boolean): number => {
 				fleet = new Fleet(boxes)
-				fleet.isPartitioned = isApart
+				fleet.isPartitioned = isPartitioned
 				return simulateSpotTermination(fleet)
 			}
-			expect(brokenOff(true)).toBeGreaterThan(0)
-			expect(brokenOff(false)).toBe(0)
+			expect(interruptedRequests(true)).toBeGreaterThan(0)
+			expect(interruptedRequests(false)).toBe(0)
 		},
 	)
 })
 
-/** Requests come at all boxes in turn; returns how many are under way at the target when it ends. */
+/** Sends requests to all boxes in turn. Returns how many are in progress at the target when it terminates. */
 function simulateSpotTermination(fleet: Fleet): number {
-	const pauseMs = 1_000 / REQUESTS_PER_SECOND
-	let underWay = 0
-	for (let turn = 0; turn * pauseMs < SPOT_NOTICE_MS; turn++) {
+	const intervalMs = 1_000 / REQUESTS_PER_SECOND
+	let inProgress = 0
+	for (let turn = 0; turn * intervalMs < SPOT_NOTICE_MS; turn++) {
 		const box = turn % fleet.registries.length
 		if (fleet.isTargetAvailable(box)) {
-			if (turn * pauseMs + REQUEST_DURATION_MS > SPOT_NOTICE_MS) underWay++
+			if (turn * intervalMs + REQUEST_DURATION_MS > SPOT_NOTICE_MS) inProgress++
 			setTimeout(() => fleet.noteLeaving(box), RESPONSE_HEADER_DELAY_MS)
 		}
-		vi.advanceTimersByTime(pauseMs)
+		vi.advanceTimersByTime(intervalMs)
 	}
-	return underWay
+	return inProgress
 }
 
-describe('words about targets that leave', () => {
-	it('come back as they were sent', () => {
+describe('leavingTargetCodec', () => {
+	it('decodes what it encoded', () => {
 		const name = brandId<TargetEntry['name']>('t')
 		const targets = [
 			{ name, bornAt: STARTED_AT },
@@ -170,7 +169,7 @@
 		expect(decodeLeavingTargets(Buffer.from(encodeLeavingTargets(targets)))).toEqual(targets)
 	})
 
-	it('leave out rows that can not be read, and are none where the bytes are something else', () => {
+	it('skips malformed rows and rejects other messages', () => {
 		const text = '{"leaving":[["a",1],["b"],["",1],[7,1],["c",1.5],["d","x"],null,"e",["f",null]]}'
 		const names = decodeLeavingTargets(Buffer.from(text))?.map(({ name }) => name)
 		expect(names).toEqual(['a', 'f'])
@@ -178,7 +177,7 @@
 			expect(decodeLeavingTargets(Buffer.from(other))).toBeUndefined()
 	})
 
-	it('never throw, whatever the bytes', () => {
+	it('never throws', () => {
 		fc.assert(
 			fc.property(fc.uint8Array(), (bytes) => {
 				decodeLeavingTargets(Buffer.concat([Buffer.from('{"leaving":'), bytes]))
--- a/packages/gateway/src/lib/LeavingTargetSharing.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.ts
@@ -8,33 +8,32 @@
 import { decodeLeavingTargets, encodeLeavingTargets } from './leavingTargetCodec.js'
 import type { PeerDatagrams } from './PeerDatagrams.js'
 
-/** What a {@link LeavingTargetSharing} works with. */
 export interface LeavingTargetSharingOptions {
 	readonly registry: TargetRegistry
 	readonly datagrams: PeerDatagrams
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
-	/** Another box told that a target leaves, which is news to this one. */
+	/** Called when another box reports a leaving target that this box did not know to be leaving. */
 	readonly onTargetLeaving: (target: TargetIdentity) => void
 	readonly metrics: Metrics
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly log: (event: LogEvent) => void
 }
 
 /**
- * Time in which the list of targets brings the same word where the store answers, in ms: a change of it reaches boxes
- * in 10 to 80 ms. Only what the list does not tell by then is told to other boxes.
+ * Time to wait for the target list to report the same change, in ms. With an available store, a change reaches all
+ * boxes in 10 to 80 ms. Only targets that the list still calls ready after this time are shared.
  */
 const LIST_UPDATE_WAIT_MS = 150
-/** Targets of one datagram: about 1,000 bytes, which links pass whole. */
+/** About 1,000 bytes, so that datagrams are not fragmented. */
 const MAX_TARGETS_PER_DATAGRAM = 20
 
 /**
- * Tells other boxes which targets leave, where only the targets' own answers say so: the store is away, or its list is
- * late. A box hears it from an answer of its own only when it has sent one more request there, and what it sends just
- * before the target ends breaks off. Lost datagrams cost no more than that, so nothing is told twice, and boxes do not
- * pass on what they were told. On a calm day nothing is sent.
+ * * Tells other boxes which targets are leaving while the target list does not show it, because the store is
+ * unavailable or the list is late. Without this, each box would learn it from a response of its own, and requests
+ * sent shortly before the target stops would be interrupted. Losing a datagram has no worse effect than that, so
+ * nothing is sent twice and received reports are not forwarded. Nothing is sent while no target is leaving.
  */
 export class LeavingTargetSharing {
 	private pending: TargetIdentity[] = []
@@ -48,20 +47,20 @@
 		clearTimeout(this.sendTimer)
 	}
 
-	/** A target told this box that it leaves. */
+	/** Shares a target whose response to this box said that it is leaving. */
 	share({ name, bornAt }: TargetIdentity): void {
 		this.pending.push({ name, bornAt })
 		this.sendTimer ??= setTimeout(() => this.sendPending(), LIST_UPDATE_WAIT_MS)
 	}
 
 	private sendPending(): void {
-		const { registry: board, datagrams, peers } = this.options
+		const { registry, datagrams, peers } = this.options
 		this.sendTimer = undefined
-		const unlisted = this.pending.filter((target) => board.isListedAsReady(target))
+		const listedAsReady = this.pending.filter((target) => registry.isListedAsReady(target))
 		this.pending = []
-		for (let i = 0; i < unlisted.length; i += MAX_TARGETS_PER_DATAGRAM) {
+		for (let i = 0; i < listedAsReady.length; i += MAX_TARGETS_PER_DATAGRAM) {
 			const bytes = Buffer.from(
-				encodeLeavingTargets(unlisted.slice(i, i + MAX_TARGETS_PER_DATAGRAM)),
+				encodeLeavingTargets(listedAsReady.slice(i, i + MAX_TARGETS_PER_DATAGRAM)),
 			)
 			for (const peer of peers()) datagrams.send(bytes, peer)
 		}
@@ -75,13 +74,13 @@
 	}
 
 	private applyReceived(target: TargetIdentity): void {
-		const { registry: board, log, metrics, now, onTargetLeaving: onHeard } = this.options
-		if (!board.isListedAsReady(target) || !board.noteLeaving(target, now())) return
+		const { registry, log, metrics, now, onTargetLeaving } = this.options
+		if (!registry.isListedAsReady(target) || !registry.noteLeaving(target, now())) return
 		metrics.count('stallwing_target_notices_total', 'event="target-heard-leaving"')
 		log({
 			name: 'target-heard-leaving',
 			fields: { target: target.name, life: incarnationOf(target) },
 		})
-		onHeard(target)
+		onTargetLeaving(target)
 	}
 }
--- a/packages/gateway/src/lib/PeerClient.ts
+++ b/packages/gateway/src/lib/PeerClient.ts
@@ -15,34 +15,34 @@
 import { fromWireWork } from './workCodec.js'
 import { ACCEPT_PATH, CHANGES_PATH, DRAWS_PATH, LEND_PATH, OPEN_PATH } from './PeerServer.js'
 
-/** Longest wait for an answer, in ms: what a box lends is not lost where it is late. */
+/** Long, because tokens of a response that times out stay counted as spent at the lender. */
 const LEND_TIMEOUT_MS = 1_500
-/** A time-out that comes later than this after its time is one of a busy box, in ms. */
+/** A timeout that fires later than this after its due time shows that this box itself was overloaded, in ms. */
 const LOCAL_DELAY_TOLERANCE_MS = 40
-/** Longest wait for the short answer of a box that stops or is asked whether it is there, in ms. */
+/** Timeout of calls of which only the status matters, in ms. */
 const STATUS_TIMEOUT_MS = 160
-/** Time beyond the wait that an answer about changes may take, in ms. */
+/** Time that a response with changes may take beyond the requested wait, in ms. */
 const CHANGES_TIMEOUT_MARGIN_MS = 300
 const MAX_CONNECTIONS = 6
 /**
- * Connections to a box for calls about changes: one for each prefix that waits, one for a call that is given
- * up. Calls for tokens that nobody answers hold theirs for up to 1.5 s.
+ * * One connection for each prefix, and one for a call that is being aborted. These are separate from other calls
+ * because an unanswered lending call occupies its connection for up to 1.5 s.
  */
 const MAX_CHANGES_CONNECTIONS = 3
-/** Time for which a box that did not answer is not asked again, in ms. */
+/** Time for which a box that did not answer is not asked for tokens again, in ms. */
 const BACKOFF_MS = 1_500
 
-/** Asks other boxes. */
+/** HTTP client for the {@link PeerServer} of other boxes. */
 export class PeerClient implements TokenPeers, FeedPeers {
 	private readonly clients = new Map<string, HttpClient>()
 	private readonly changesClients = new Map<string, HttpClient>()
-	/** Boxes that did not answer, and until when they are not asked. */
+	/** For each box that did not answer, the time until which it is not asked again. */
 	private readonly backoffUntil = new Map<string, number>()
 
 	constructor(
 		private readonly box: BoxName,
 		private readonly now: () => number,
-		/** Work of all other boxes that came with an answer. */
+		/** Called with the work of all other boxes when a response contains it. */
 		private readonly onFleetWork: (work: readonly TargetWork[]) => void,
 	) {}
 
@@ -54,21 +54,21 @@
 		if (this.isBackingOff(address)) return EMPTY_LEND_RESPONSE
 		const { tokens, ahead } = request
 		const fields = { account, tokens: String(tokens), ahead: String(ahead), box: this.box }
-		const began = this.now()
+		const startedAt = this.now()
 		try {
 			const path = `${LEND_PATH}?${new URLSearchParams(fields)}`
-			const reply = await this.clientFor(address).send({
+			const response = await this.clientFor(address).send({
 				method: 'POST',
 				path,
 				timeoutMs: LEND_TIMEOUT_MS,
 			})
-			if (reply.status !== 200) throw new Error(`status ${reply.status}`)
+			if (response.status !== 200) throw new Error(`status ${response.status}`)
 			this.backoffUntil.delete(address)
-			return this.parseLendResponse(reply.text)
+			return this.parseLendResponse(response.text)
 		} catch {
-			// Tokens of a lost answer stay counted as spent at the lender: nobody can spend them.
-			// A box that was busy itself for longer than the wait says nothing about the other.
-			if (this.now() - began < LEND_TIMEOUT_MS + LOCAL_DELAY_TOLERANCE_MS)
+			// Tokens of a lost response stay counted as spent at the lender, so they cannot be spent twice.
+			// If this box was overloaded for longer than the timeout, the other box may be fine.
+			if (this.now() - startedAt < LEND_TIMEOUT_MS + LOCAL_DELAY_TOLERANCE_MS)
 				this.backoffUntil.set(address, this.now() + BACKOFF_MS)
 			return EMPTY_LEND_RESPONSE
 		}
@@ -89,16 +89,16 @@
 		const path = `${CHANGES_PATH}?${new URLSearchParams(fields)}`
 		const timeoutMs = waitMs + CHANGES_TIMEOUT_MARGIN_MS
 		try {
-			const caller = getOrCreateClient(this.changesClients, address, MAX_CHANGES_CONNECTIONS)
-			const reply = await caller.send({ method: 'GET', path, timeoutMs })
-			return reply.status === 200 ? decodeFeedResponse(reply.text, after.era) : undefined
+			const client = getOrCreateClient(this.changesClients, address, MAX_CHANGES_CONNECTIONS)
+			const response = await client.send({ method: 'GET', path, timeoutMs })
+			return response.status === 200 ? decodeFeedResponse(response.text, after.era) : undefined
 		} catch {
 			return undefined
 		}
 	}
 
-	async sendDraws(address: string, told: ReplicatedDraws): Promise<boolean> {
-		return (await this.requestStatus(address, 'POST', DRAWS_PATH, told)) === 200
+	async sendDraws(address: string, draws: ReplicatedDraws): Promise<boolean> {
+		return (await this.requestStatus(address, 'POST', DRAWS_PATH, draws)) === 200
 	}
 
 	async isReachable(address: string): Promise<boolean> {
@@ -119,7 +119,7 @@
 		return (await this.requestStatus(address, 'POST', `${ACCEPT_PATH}?${query}`)) === 200
 	}
 
-	/** Status of the answer; undefined without one. */
+	/** Returns the HTTP status, or undefined if the box did not answer. */
 	private async requestStatus(
 		address: string,
 		method: 'GET' | 'POST',
@@ -143,7 +143,7 @@
 		return getOrCreateClient(this.clients, address, MAX_CONNECTIONS)
 	}
 
-	/** @throws where the text is no JSON document. */
+	/** @throws SyntaxError if the text is not valid JSON. */
 	private parseLendResponse(text: string): LendResponse {
 		const body = JSON.parse(text) as Partial<Record<keyof LendResponse | 'work', unknown>>
 		const work = fromWireWork(body.work)
@@ -156,7 +156,7 @@
 	}
 }
 
-/** Rows of an account and what may be left of it; empty where the document is no such list. */
+/** Parses rows of an account and its remaining tokens. Returns an empty list if the value is not a list. */
 function parseNearlySpent(rows: unknown): readonly RemainingBudget[] {
 	if (!Array.isArray(rows)) return []
 	return (rows as readonly (readonly [AccountName, number])[]).map(([account, left]) => ({
@@ -165,15 +165,14 @@
 	}))
 }
 
-/** The caller of an address, made at the first call. */
 function getOrCreateClient(
-	callers: Map<string, HttpClient>,
+	clients: Map<string, HttpClient>,
 	address: string,
-	connections: number,
+	maxConnections: number,
 ): HttpClient {
-	const known = callers.get(address)
-	if (known) return known
-	const caller = new HttpClient({ ...parseAddress(address), maxConnections: connections })
-	callers.set(address, caller)
-	return caller
+	const existing = clients.get(address)
+	if (existing) return existing
+	const client = new HttpClient({ ...parseAddress(address), maxConnections })
+	clients.set(address, client)
+	return client
 }
--- a/packages/gateway/src/lib/PeerDatagrams.ts
+++ b/packages/gateway/src/lib/PeerDatagrams.ts
@@ -2,10 +2,10 @@
 import type { ListenAddress } from './listenOn.js'
 import { parseAddress } from './parseAddress.js'
 
-/** Takes a datagram of another box; false where it is none of its own. */
+/** Handles a datagram from another box. Returns false if it is of a kind that this handler does not know. */
 export type DatagramHandler = (bytes: Buffer) => boolean
 
-/** Datagrams between boxes. Any of them may be lost; what matters is told again. */
+/** Sends and receives datagrams between boxes. Delivery is not guaranteed; senders repeat what matters. */
 export class PeerDatagrams {
 	private readonly socket: Socket
 	private readonly handlers: DatagramHandler[] = []
@@ -13,7 +13,7 @@
 	constructor() {
 		this.socket = createSocket('udp4')
 		this.socket.on('message', (bytes) => this.receive(bytes))
-		// An address nobody listens on is reported here; the sender tells again.
+		// The socket reports unreachable peers here. Senders repeat what matters, so there is nothing to do.
 		this.socket.on('error', () => undefined)
 	}
 
@@ -34,7 +34,7 @@
 		if (host && port) this.socket.send(bytes, port, host, () => undefined)
 	}
 
-	/** Bytes that no handler knows are those of another version; they are left out. */
+	/** Passes a datagram to its handler. Ignores unknown kinds, which come from boxes of another version. */
 	private receive(bytes: Buffer): void {
 		this.handlers.some((handle) => handle(bytes))
 	}
--- a/packages/gateway/src/lib/PeerFeedReader.ts
+++ b/packages/gateway/src/lib/PeerFeedReader.ts
@@ -3,9 +3,9 @@
 import type { FeedResponse } from './handleFeedRequest.js'
 import type { FeedState } from './FeedState.js'
 
-/** Calls to other boxes about changes in the store. */
+/** Calls to other boxes for changes in the store. */
 export interface FeedPeers {
-	/** Waits for changes after a revision, at most `waitMs`; undefined where the box does not answer. */
+	/** Waits up to `waitMs` for changes after a revision. Resolves to undefined if the box does not answer. */
 	fetchChanges(
 		address: string,
 		prefix: string,
@@ -15,11 +15,11 @@
 }
 
 /**
- * What other boxes told.
- * - `heard`: changes, or that there are none.
- * - `listed`: all items; they wait to be listed.
- * - `stale`: all that are there were not told anything themselves.
- * - `silent`: none is there.
+ * Result of a query to other boxes.
+ * - `heard`: the changes, or confirmation that there are none.
+ * - `listed`: a complete listing, which {@link FeedState} has taken over.
+ * - `stale`: boxes answered, but none had current data.
+ * - `silent`: no box answered.
  */
 export type PeerFeedResult =
 	| { readonly kind: 'heard'; readonly changes: readonly StoreChange[] }
@@ -27,20 +27,18 @@
 	| { readonly kind: 'stale' }
 	| { readonly kind: 'silent' }
 
-/** What {@link PeerFeedReader} works with. */
 export interface PeerFeedReaderOptions {
 	readonly peers: FeedPeers
-	/** Addresses of boxes that watch the store, in the order in which this one asks them. */
+	/** Addresses of boxes that watch the store, in order of preference. */
 	readonly watchers: () => readonly string[]
-	/** Age up to which the word of the store vouches for silence, in ms. */
+	/** Age up to which a confirmation by the store proves that there are no changes, in ms. */
 	readonly maxConfirmationAgeMs: number
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly sleep: (ms: number) => Promise<void>
 	readonly log: (event: LogEvent) => void
 }
 
-/** One question to one box. */
 interface PeerQuery {
 	readonly address: string
 	readonly prefix: string
@@ -48,83 +46,85 @@
 	readonly waitMs: number
 }
 
-/** Longest wait of one call to another box, in ms. */
 export const MAX_RELAY_WAIT_MS = 1_000
-/** Time for which a box that did not answer is not asked, in ms. */
+/** Time for which a box that did not answer is not queried, in ms. */
 const BACKOFF_MS = 2_000
 /**
- * Time after which the next box is asked while one has not answered, in ms. Asked all at once, eight boxes sent
- * the same large configuration over a small link.
+ * Time to wait for one box before the next one is queried too, in ms. Querying all boxes at once would send the same
+ * large configuration several times over a slow link.
  */
 const NEXT_PEER_DELAY_MS = 150
-/** Boxes that are asked before the store is: those of the own zone that watch, and some of others. */
+/** Boxes queried before the store: the watchers of the own zone and some of other zones. */
 const MAX_QUERIED_WATCHERS = 8
 
-/** Asks the boxes that watch the store what they know, and takes it over. */
+/** Queries the boxes that watch the store and applies their changes to the feed of this box. */
 export class PeerFeedReader {
-	/** No other box answered the last question. */
+	/** No other box answered the last query. */
 	hasNoReachablePeer = false
 	private readonly backoffUntil = new Map<string, number>()
 
 	constructor(private readonly options: PeerFeedReaderOptions) {}
 
 	/**
-	 * Asks the first box, and all others at once where that one can't tell. Where none could the last time,
-	 * they are asked in turn for what they know now.
+	 * Queries the first box, then all others at once if it has no current data. If no box had current data the last
+	 * time, queries them in turn without waiting for changes.
 	 */
 	async query(feed: FeedState, prefix: string, after: StoreRevision): Promise<PeerFeedResult> {
 		const watchers = this.options.watchers().slice(0, MAX_QUERIED_WATCHERS)
 		const waitMs = feed.hasNoSource ? 0 : MAX_RELAY_WAIT_MS
-		const askOne = (address: string): Promise<PeerFeedResult> =>
-			this.askOne(feed, { address, prefix, after, waitMs })
-		const heard = await (feed.hasNoSource
-			? this.queryInTurn(watchers, askOne)
-			: queryFirstThenAll(watchers, askOne))
-		if (isCurrent(heard)) feed.hasNoSource = false
+		const queryPeer = (address: string): Promise<PeerFeedResult> =>
+			this.queryPeer(feed, { address, prefix, after, waitMs })
+		const result = await (feed.hasNoSource
+			? this.queryInTurn(watchers, queryPeer)
+			: queryFirstThenAll(watchers, queryPeer))
+		if (isCurrent(result)) feed.hasNoSource = false
 		else feed.noteNoSource()
-		this.hasNoReachablePeer = heard.kind === 'silent'
-		return heard
+		this.hasNoReachablePeer = result.kind === 'silent'
+		return result
 	}
 
-	/** Goes on to the next box where one can't tell, or takes long: an answer may be large and links small. */
+	/**
+	 * Moves on to the next box if one has no current data or is slow. Avoids fetching a large listing from several
+	 * boxes.
+	 */
 	private async queryInTurn(
 		addresses: readonly string[],
 		queryPeer: (address: string) => Promise<PeerFeedResult>,
 	): Promise<PeerFeedResult> {
-		const asked: Promise<PeerFeedResult>[] = []
+		const queries: Promise<PeerFeedResult>[] = []
 		for (const address of addresses) {
-			const answer = queryPeer(address)
-			asked.push(answer)
-			const late = this.options.sleep(NEXT_PEER_DELAY_MS)
-			const heard = await Promise.race([firstCurrent(asked), answer, late])
-			if (heard && isCurrent(heard)) return heard
+			const response = queryPeer(address)
+			queries.push(response)
+			const delay = this.options.sleep(NEXT_PEER_DELAY_MS)
+			const result = await Promise.race([firstCurrent(queries), response, delay])
+			if (result && isCurrent(result)) return result
 		}
-		return firstCurrentOrFallback(asked)
+		return firstCurrentOrFallback(queries)
 	}
 
-	private async askOne(feed: FeedState, question: PeerQuery): Promise<PeerFeedResult> {
-		const { address, prefix, after, waitMs } = question
-		const { maxConfirmationAgeMs: freshMs, now, peers } = this.options
-		// A call that does not wait is over soon, also where nobody answers.
+	private async queryPeer(feed: FeedState, query: PeerQuery): Promise<PeerFeedResult> {
+		const { address, prefix, after, waitMs } = query
+		const { maxConfirmationAgeMs, now, peers } = this.options
+		// A call without a wait times out soon, so it needs no backoff.
 		if (waitMs > 0 && (this.backoffUntil.get(address) ?? 0) > now()) return { kind: 'silent' }
-		const answer = await peers.fetchChanges(address, prefix, after, waitMs)
-		if (!answer) {
+		const response = await peers.fetchChanges(address, prefix, after, waitMs)
+		if (!response) {
 			this.backoffUntil.set(address, now() + BACKOFF_MS)
 			return { kind: 'silent' }
 		}
-		const { storeAvailableMs: answeredMs, changes, listing, confirmationAgeMs: wordAgeMs } = answer
-		const isFresh = wordAgeMs < freshMs
+		const { storeAvailableMs, changes, listing, confirmationAgeMs } = response
+		const isFresh = confirmationAgeMs < maxConfirmationAgeMs
 		if (!isFresh && changes.length === 0 && !listing) return { kind: 'stale' }
-		if (isFresh) feed.noteConfirmed(now() - wordAgeMs)
-		if (answeredMs > 0) feed.noteStoreAvailableSince(now() - answeredMs)
+		if (isFresh) feed.noteConfirmed(now() - confirmationAgeMs)
+		if (storeAvailableMs > 0) feed.noteStoreAvailableSince(now() - storeAvailableMs)
 		if (listing) {
 			if (!feed.applyListing(listing)) return { kind: 'stale' }
-			this.logRelayed(question, listing.items.length)
+			this.logRelayed(query, listing.items.length)
 			return { kind: 'listed' }
 		}
 		if (changes.length > 0) {
 			feed.log.append(changes)
-			this.logRelayed(question, changes.length)
+			this.logRelayed(query, changes.length)
 		}
 		return { kind: 'heard', changes }
 	}
@@ -135,37 +135,37 @@
 	}
 }
 
-function isCurrent(heard: PeerFeedResult): boolean {
-	return heard.kind === 'heard' || heard.kind === 'listed'
+function isCurrent(result: PeerFeedResult): boolean {
+	return result.kind === 'heard' || result.kind === 'listed'
 }
 
-/** Asks the first box, and all others at once where that one can't tell. */
+/** Queries the first box, then all others at once if it has no current data. */
 async function queryFirstThenAll(
 	[first, ...others]: readonly string[],
-	askOne: (address: string) => Promise<PeerFeedResult>,
+	queryPeer: (address: string) => Promise<PeerFeedResult>,
 ): Promise<PeerFeedResult> {
 	if (first === undefined) return { kind: 'silent' }
-	const asked = askOne(first)
-	const heard = await asked
-	return isCurrent(heard) ? heard : firstCurrentOrFallback([asked, ...others.map(askOne)])
+	const firstQuery = queryPeer(first)
+	const result = await firstQuery
+	return isCurrent(result) ? result : firstCurrentOrFallback([firstQuery, ...others.map(queryPeer)])
 }
 
-/** The first answer that tells something; otherwise `stale` where any box was there. */
+/** Resolves to the first result with current data; without any, to `stale` if a box answered, else to `silent`. */
 function firstCurrentOrFallback(
-	asked: readonly Promise<PeerFeedResult>[],
+	queries: readonly Promise<PeerFeedResult>[],
 ): Promise<PeerFeedResult> {
-	const none = Promise.all(asked).then(
-		(all): PeerFeedResult => all.find((heard) => heard.kind === 'stale') ?? { kind: 'silent' },
+	const none = Promise.all(queries).then(
+		(all): PeerFeedResult => all.find((result) => result.kind === 'stale') ?? { kind: 'silent' },
 	)
-	return Promise.race([firstCurrent(asked), none])
+	return Promise.race([firstCurrent(queries), none])
 }
 
-/** The first answer that tells something; never resolves where none does. */
-function firstCurrent(asked: readonly Promise<PeerFeedResult>[]): Promise<PeerFeedResult> {
+/** Resolves to the first result with current data; never resolves if there is none. */
+function firstCurrent(queries: readonly Promise<PeerFeedResult>[]): Promise<PeerFeedResult> {
 	return new Promise((resolve) => {
-		const note = (heard: PeerFeedResult): void => {
-			if (isCurrent(heard)) resolve(heard)
+		const resolveIfCurrent = (result: PeerFeedResult): void => {
+			if (isCurrent(result)) resolve(result)
 		}
-		for (const answer of asked) void answer.then(note)
+		for (const response of queries) void response.then(resolveIfCurrent)
 	})
 }
--- a/packages/gateway/src/lib/PeerServer.ts
+++ b/packages/gateway/src/lib/PeerServer.ts
@@ -9,42 +9,44 @@
 import { toWireWork } from './workCodec.js'
 import { listenOn, type ListenAddress } from './listenOn.js'
 
-/** Path on which a box asks another for tokens. */
+/** Lends tokens to the calling box. */
 export const LEND_PATH = '/lend'
-/** Path on which a stopping box gives tokens to another. */
+/** Accepts tokens from a stopping box. */
 export const ACCEPT_PATH = '/accept'
-/** Path that tells whether a box takes tokens. */
+/** Answers whether this box accepts tokens. */
 export const OPEN_PATH = '/open'
 
-/** Path on which a box tells what it has drawn. */
+/** Stores a replica of the draws of the calling box. */
 export const DRAWS_PATH = '/draws'
-/** Path on which a box waits for changes in the store. */
+/** Waits for changes in the store. */
 export const CHANGES_PATH = '/changes'
 
-/** What other boxes may ask of this one. */
+/** Implementations of the calls that other boxes make. */
 export interface PeerHandlers {
-	/** Hands over tokens of an account; undefined where this box has given back all that it held. */
+	/** Lends tokens of an account. Resolves to undefined if this box has returned all its tokens. */
 	lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined>
-	/** Work at targets of all boxes but one, to go with an answer to that one. */
-	fleetWork(asker: BoxName): readonly TargetWork[]
-	/** Takes tokens over that were held under the configuration of a revision; false where this box can't. */
+	/** Work at targets of all boxes except the calling box, sent with the response to it. */
+	fleetWork(caller: BoxName): readonly TargetWork[]
+	/** Accepts tokens that were held under a version of the budgets. Returns false if this box cannot use them. */
 	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean
-	/** Takes what another box has drawn; false where that is of a history that is over. */
-	storeDraws(told: ReplicatedDraws): boolean
-	/** Whether this box would take tokens over. */
+	/**
+	 * Stores the draws of another box. Returns false if they are of an earlier store era or this box cannot use
+	 * them yet.
+	 */
+	storeDraws(draws: ReplicatedDraws): boolean
 	canAcceptTokens(): boolean
-	/** Changes below a prefix after a revision, as soon as there are any. */
+	/** Waits up to `waitMs` for changes below a prefix after a revision. */
 	waitForChanges(prefix: string, after: RequestedRevision, waitMs: number): Promise<FeedResponse>
 }
 
-/** Serves the other boxes. Callers do not reach it. */
+/** HTTP server for other boxes. It must not be reachable for callers of the service. */
 export class PeerServer {
 	private readonly server: Server
 
 	constructor(private readonly handlers: PeerHandlers) {
 		this.server = createServer(
 			{ keepAlive: true },
-			(message, response) => void this.handle(message, response),
+			(request, response) => void this.handle(request, response),
 		)
 	}
 
@@ -65,13 +67,13 @@
 			number: Number(url.searchParams.get('after')),
 		}
 		const waitMs = Number(url.searchParams.get('waitMs'))
-		const isRead = [after.era ?? 0, after.number, waitMs].every(Number.isSafeInteger)
-		if (prefix === '' || !isRead) {
+		const isValid = [after.era ?? 0, after.number, waitMs].every(Number.isSafeInteger)
+		if (prefix === '' || !isValid) {
 			response.writeHead(400).end()
 			return
 		}
-		const answer = await this.handlers.waitForChanges(prefix, after, waitMs)
-		sendJson(response, 200, encodeFeedResponse(answer))
+		const result = await this.handlers.waitForChanges(prefix, after, waitMs)
+		sendJson(response, 200, encodeFeedResponse(result))
 	}
 
 	private async lend(
@@ -81,14 +83,14 @@
 		response: ServerResponse,
 	): Promise<void> {
 		const ahead = Math.max(0, Number(url.searchParams.get('ahead')) || 0)
-		const answer = await this.handlers.lend(account, { tokens, ahead })
-		const asker = brandId<BoxName>(url.searchParams.get('box') ?? '')
-		const work = toWireWork(this.handlers.fleetWork(asker))
-		const nearlySpent = answer?.nearlySpent.map(({ account: name, left }) => [
+		const result = await this.handlers.lend(account, { tokens, ahead })
+		const caller = brandId<BoxName>(url.searchParams.get('box') ?? '')
+		const work = toWireWork(this.handlers.fleetWork(caller))
+		const nearlySpent = result?.nearlySpent.map(({ account: name, left }) => [
 			name,
 			Math.round(left),
 		])
-		sendJson(response, answer ? 200 : 503, { ...answer, nearlySpent, work })
+		sendJson(response, result ? 200 : 503, { ...result, nearlySpent, work })
 	}
 
 	private accept(account: AccountName, tokens: number, url: URL): boolean {
@@ -99,15 +101,15 @@
 		)
 	}
 
-	private async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
-		const url = new URL(message.url ?? '/', 'http://box')
+	private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+		const url = new URL(request.url ?? '/', 'http://box')
 		if (url.pathname === OPEN_PATH) {
 			response.writeHead(this.handlers.canAcceptTokens() ? 200 : 503).end()
 			return
 		}
 		if (url.pathname === DRAWS_PATH) {
-			const told = await readReplicatedDraws(message)
-			response.writeHead(told && this.handlers.storeDraws(told) ? 200 : 503).end()
+			const draws = await readReplicatedDraws(request)
+			response.writeHead(draws && this.handlers.storeDraws(draws) ? 200 : 503).end()
 			return
 		}
 		if (url.pathname === CHANGES_PATH) {
@@ -120,9 +122,9 @@
 			response.writeHead(400).end()
 			return
 		}
-		if (message.method === 'POST' && url.pathname === LEND_PATH)
+		if (request.method === 'POST' && url.pathname === LEND_PATH)
 			await this.lend(account, tokens, url, response)
-		else if (message.method === 'POST' && url.pathname === ACCEPT_PATH)
+		else if (request.method === 'POST' && url.pathname === ACCEPT_PATH)
 			sendJson(response, this.accept(account, tokens, url) ? 200 : 503, {})
 		else response.writeHead(404).end()
 	}
--- a/packages/gateway/src/lib/PeerSharing.ts
+++ b/packages/gateway/src/lib/PeerSharing.ts
@@ -10,7 +10,6 @@
 import type { TargetPools } from './TargetPools.js'
 import { WorkSharing } from './WorkSharing.js'
 
-/** What a {@link PeerSharing} works with. */
 export interface PeerSharingOptions {
 	readonly gateway: GatewayOptions
 	readonly store: KeyValueStore
@@ -19,7 +18,10 @@
 	readonly membership: FleetMembership
 }
 
-/** All that boxes tell each other by datagram: work at targets, requests that end targets, targets that leave or name rates. */
+/**
+ * * Everything that boxes share by datagram: work in progress at targets, requests that crash targets, leaving
+ * targets and the rates that targets advertise.
+ */
 export class PeerSharing {
 	readonly crashProtection: CrashProtection
 	readonly leavingSharing: LeavingTargetSharing
@@ -28,38 +30,38 @@
 	private readonly datagrams = new PeerDatagrams()
 	private readonly address: ListenAddress
 
-	constructor({ registry: board, gateway, pools, membership: roster, store }: PeerSharingOptions) {
+	constructor({ registry, gateway, pools, membership, store }: PeerSharingOptions) {
 		const { datagrams } = this
 		this.address = gateway.listen.peers
 		this.workSharing = new WorkSharing({
 			datagrams,
 			box: gateway.box,
-			registry: board,
-			peers: () => roster.workPeers,
-			isHub: () => roster.isLarge && roster.isLender,
+			registry,
+			peers: () => membership.workPeers,
+			isHub: () => membership.isLarge && membership.isLender,
 			now: gateway.now,
 		})
 		this.crashProtection = new CrashProtection({
 			...gateway,
 			store,
 			key: gateway.storeLayout.quarantineKey,
-			registry: board,
+			registry,
 			pool: (target) => pools.poolFor(target),
 			datagrams,
-			peers: () => roster.otherAddresses,
+			peers: () => membership.otherAddresses,
 		})
 		this.leavingSharing = new LeavingTargetSharing({
 			...gateway,
-			registry: board,
+			registry,
 			datagrams,
-			peers: () => roster.otherAddresses,
+			peers: () => membership.otherAddresses,
 			onTargetLeaving: ({ name }) => pools.closeIdle(name),
 		})
 		this.rateSharing = new RateSharing({
 			...gateway,
-			registry: board,
+			registry,
 			datagrams,
-			peers: () => roster.otherAddresses,
+			peers: () => membership.otherAddresses,
 		})
 	}
 
--- a/packages/gateway/src/lib/QuarantineSharing.test.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.test.ts
@@ -11,7 +11,7 @@
 const BOX_COUNT = 6
 const REQUEST = { fingerprint: brandId<RequestFingerprint>('f'.repeat(32)), hint: 1 }
 
-/** Boxes that tell each other, in virtual time; some may be cut off. */
+/** Boxes that exchange records in virtual time; some may be partitioned. */
 class Fleet {
 	datagramCount = 0
 	readonly partitioned = new Set<number>()
@@ -28,10 +28,14 @@
 		for (const sharing of this.sharings) sharing.stop()
 	}
 
-	/** A target ends under the request; a box sees it. */
-	crash(box: number, life: string): void {
+	/** Records at one box that a target crashed while it ran the request. */
+	crash(box: number, incarnation: string): void {
 		const now = Date.now()
-		const run = { incarnation: brandId<TargetIncarnation>(life), startedAt: now - 50, endedAt: now }
+		const run = {
+			incarnation: brandId<TargetIncarnation>(incarnation),
+			startedAt: now - 50,
+			endedAt: now,
+		}
 		const record = this.quarantines[box]?.recordCrash(REQUEST, run, now)
 		if (record) this.sharings[box]?.share(record)
 	}
@@ -45,21 +49,21 @@
 		return this.quarantines.map((quarantine) => quarantine.stageOf(REQUEST.fingerprint))
 	}
 
-	private makeSharing(quarantine: RequestQuarantine, self: number): QuarantineSharing {
+	private makeSharing(quarantine: RequestQuarantine, ownBox: number): QuarantineSharing {
 		const datagrams: Pick<PeerDatagrams, 'onMessage' | 'send'> = {
-			onMessage: (handler) => (this.handlers[self] = handler),
+			onMessage: (handler) => (this.handlers[ownBox] = handler),
 			send: (bytes, peer) => {
 				this.datagramCount++
-				if (this.partitioned.has(self) || this.partitioned.has(Number(peer))) return
+				if (this.partitioned.has(ownBox) || this.partitioned.has(Number(peer))) return
 				setTimeout(() => this.handlers[Number(peer)]?.(bytes), 1)
 			},
 		}
-		let turn = self
+		let turn = ownBox
 		return new QuarantineSharing({
 			quarantine,
 			datagrams: datagrams as PeerDatagrams,
 			peers: () =>
-				Array.from({ length: BOX_COUNT }, (_, box) => `${box}`).filter((box) => +box !== self),
+				Array.from({ length: BOX_COUNT }, (_, box) => `${box}`).filter((box) => +box !== ownBox),
 			onRecordsReceived: () => undefined,
 			now: () => Date.now(),
 			random: () => ((turn++ * 7) % 10) / 10,
@@ -80,19 +84,19 @@
 		vi.useRealTimers()
 	})
 
-	async function crashThrice(): Promise<void> {
+	async function crashThreeTargets(): Promise<void> {
 		for (const box of [0, 1, 2]) {
 			fleet.crash(box, `t-${box}`)
 			await vi.advanceTimersByTimeAsync(100)
 		}
 	}
 
-	it('tells all boxes at once what each of them saw a part of', async () => {
-		await crashThrice()
+	it('combines at all boxes the crashes that different boxes detected', async () => {
+		await crashThreeTargets()
 		expect(fleet.stages).toEqual(Array.from({ length: BOX_COUNT }, () => 'quarantined'))
 	})
 
-	it('sends nothing where nothing ended, and no reminders of what is only suspect', async () => {
+	it('sends nothing without crashes, and does not gossip requests that are only suspect', async () => {
 		await vi.advanceTimersByTimeAsync(60_000)
 		expect(fleet.datagramCount).toBe(0)
 		fleet.crash(0, 't-0')
@@ -100,21 +104,21 @@
 		expect(fleet.datagramCount).toBe(BOX_COUNT - 1)
 	})
 
-	it('reminds a box that was cut off within seconds, and no longer than two minutes', async () => {
+	it('updates a partitioned box within seconds after it returns, and stops gossiping after two minutes', async () => {
 		fleet.partitioned.add(5)
-		await crashThrice()
+		await crashThreeTargets()
 		expect(fleet.stages[5]).toBe('free')
 		fleet.partitioned.clear()
 		await vi.advanceTimersByTimeAsync(2_000)
 		expect(fleet.stages[5]).toBe('quarantined')
 		await vi.advanceTimersByTimeAsync(120_000)
-		const { datagramCount: sent } = fleet
+		const { datagramCount } = fleet
 		await vi.advanceTimersByTimeAsync(60_000)
-		expect(fleet.datagramCount).toBe(sent)
+		expect(fleet.datagramCount).toBe(datagramCount)
 	})
 
-	it('lets a box know that a request was cleared while it was cut off', async () => {
-		await crashThrice()
+	it('tells a box that a request was cleared while the box was partitioned', async () => {
+		await crashThreeTargets()
 		fleet.partitioned.add(5)
 		fleet.clear(0)
 		await vi.advanceTimersByTimeAsync(1_000)
--- a/packages/gateway/src/lib/QuarantineSharing.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.ts
@@ -2,37 +2,38 @@
 import type { PeerDatagrams } from './PeerDatagrams.js'
 import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
-/** What a {@link QuarantineSharing} works with. */
 export interface QuarantineSharingOptions {
 	readonly quarantine: RequestQuarantine
 	readonly datagrams: PeerDatagrams
 	/** Addresses of all other boxes. */
 	readonly peers: () => readonly string[]
-	/** Other boxes told something new. */
+	/** Called with the records that messages from other boxes changed. */
 	readonly onRecordsReceived: (records: readonly CrashRecord[]) => void
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly random: () => number
 }
 
-/** Time over which news are gathered before they are told to all, in ms: a target ends with all its requests. */
+/**
+ * Time over which changed records are batched, in ms: one crash changes the records of all requests that the target
+ * ran.
+ */
 const BATCH_WINDOW_MS = 20
-/** Time between two reminders, in ms. */
 const GOSSIP_INTERVAL_MS = 500
-/** Boxes that are reminded each time: what a datagram did not bring reaches a fleet of 500 in 4 or 5 rounds. */
+/** Random peers per gossip round: a record that was lost reaches a fleet of 500 in 4 or 5 rounds. */
 const GOSSIP_FANOUT = 3
-/** Age up to which boxes are reminded of what is known of a request, in ms: a caller that comes back has by then. */
+/** Age up to which records are gossiped, in ms: a caller that retries does so within this time. */
 const MAX_GOSSIP_AGE_MS = 120_000
-/** Records of one datagram: about 1,200 bytes, which links pass whole. */
+/** About 1,200 bytes, so that datagrams are not fragmented. */
 const MAX_RECORDS_PER_DATAGRAM = 4
-/** Records of one reminder or one piece of news; where there are more, a random part. */
+/** If there are more records, a random range of this size is sent. */
 const MAX_RECORDS_PER_SEND = 40
 
 /**
- * Tells other boxes which requests end targets, and hears it from them. News go to all boxes at once, by datagram:
- * also while the store is away, and a target ends rarely. For datagrams that were lost, and for boxes that were cut
- * off or have just started, each box reminds a few others of requests on probation and quarantined ones for two
- * minutes; one that was reminded of what has been cleared since tells so. On a calm day nothing is sent.
+ * * Exchanges crash records with other boxes by datagram, so that it also works while the store is unavailable.
+ * Changed records go to all boxes at once. To make up for lost datagrams, network partitions and restarts, each box
+ * also gossips recent records of quarantined requests and requests on probation to a few random boxes. A box that
+ * receives a record older than its own answers with its own. Nothing is sent while no target crashes.
  */
 export class QuarantineSharing {
 	private pending = new Map<string, CrashRecord>()
@@ -52,7 +53,7 @@
 		clearTimeout(this.batchTimer)
 	}
 
-	/** Tells all boxes about a record of this one. */
+	/** Sends a record to all other boxes with the next batch. */
 	share(record: CrashRecord): void {
 		this.pending.set(record.fingerprint, record)
 		this.batchTimer ??= setTimeout(() => this.sendPending(), BATCH_WINDOW_MS)
@@ -67,36 +68,39 @@
 
 	private gossip(): void {
 		const { now, peers, quarantine, random } = this.options
-		const newest = now() - MAX_GOSSIP_AGE_MS
-		const records = quarantine.restricted.filter((record) => record.changedAt >= newest)
+		const oldest = now() - MAX_GOSSIP_AGE_MS
+		const records = quarantine.restricted.filter((record) => record.changedAt >= oldest)
 		if (records.length === 0) return
-		const all = peers()
-		const some = Array.from({ length: GOSSIP_FANOUT }, () => all[Math.floor(random() * all.length)])
+		const candidates = peers()
+		const selected = Array.from(
+			{ length: GOSSIP_FANOUT },
+			() => candidates[Math.floor(random() * candidates.length)],
+		)
 		this.send(
 			records,
-			some.filter((peer) => peer !== undefined),
+			selected.filter((peer) => peer !== undefined),
 		)
 	}
 
 	private send(records: readonly CrashRecord[], peers: readonly string[]): void {
 		const { datagrams, now, random } = this.options
 		const first = Math.floor(random() * Math.max(1, records.length - MAX_RECORDS_PER_SEND + 1))
-		const told = records.slice(first, first + MAX_RECORDS_PER_SEND)
-		for (let i = 0; i < told.length; i += MAX_RECORDS_PER_DATAGRAM) {
+		const sent = records.slice(first, first + MAX_RECORDS_PER_SEND)
+		for (let i = 0; i < sent.length; i += MAX_RECORDS_PER_DATAGRAM) {
 			const bytes = Buffer.from(
-				encodeCrashRecords(told.slice(i, i + MAX_RECORDS_PER_DATAGRAM), now()),
+				encodeCrashRecords(sent.slice(i, i + MAX_RECORDS_PER_DATAGRAM), now()),
 			)
 			for (const peer of peers) datagrams.send(bytes, peer)
 		}
 	}
 
 	private receive(bytes: Buffer): boolean {
-		const { now, onRecordsReceived: onHeard, quarantine } = this.options
+		const { now, onRecordsReceived, quarantine } = this.options
 		const records = decodeCrashRecords(bytes, now())
 		if (!records) return false
 		for (const record of quarantine.newerRecords(records)) this.share(record)
 		const changed = quarantine.merge(records)
-		if (changed.length > 0) onHeard(changed)
+		if (changed.length > 0) onRecordsReceived(changed)
 		return true
 	}
 }
--- a/packages/gateway/src/lib/QuarantineStore.test.ts
+++ b/packages/gateway/src/lib/QuarantineStore.test.ts
@@ -13,11 +13,11 @@
 
 const KEY = 'quarantine'
 
-function identityOf(digit: string) {
-	return { fingerprint: brandId<RequestFingerprint>(digit.repeat(32)), hint: 1 }
+function identityOf(hexDigit: string) {
+	return { fingerprint: brandId<RequestFingerprint>(hexDigit.repeat(32)), hint: 1 }
 }
 
-/** One box, as far as it keeps quarantined requests. */
+/** The parts of a box that save quarantined requests. */
 class Box {
 	readonly quarantine = new RequestQuarantine()
 	readonly logEvents: LogEvent[] = []
@@ -38,27 +38,27 @@
 		})
 	}
 
-	crash(digit: string, times: number): void {
+	crash(hexDigit: string, times: number): void {
 		for (let i = 0; i < times; i++) {
 			const endedAt = Date.now() - 1_000 + 100 * i
 			const run = {
-				incarnation: brandId<TargetIncarnation>(`${digit}-${i}`),
+				incarnation: brandId<TargetIncarnation>(`${hexDigit}-${i}`),
 				startedAt: endedAt - 50,
 				endedAt,
 			}
-			this.quarantine.recordCrash(identityOf(digit), run, Date.now())
+			this.quarantine.recordCrash(identityOf(hexDigit), run, Date.now())
 		}
 	}
 
-	/** Reads the record of the fleet, as with the list of boxes, and writes what it lacks. */
+	/** Reads the stored document, then saves what it lacks. */
 	async syncWithStore(): Promise<void> {
 		const listing = await this.store.listStale(KEY)
 		this.quarantineStore.applyStored(listing._tag === 'Right' ? listing.right[0] : undefined)
 		await this.quarantineStore.save()
 	}
 
-	stageOf(digit: string): string {
-		return this.quarantine.stageOf(identityOf(digit).fingerprint)
+	stageOf(hexDigit: string): string {
+		return this.quarantine.stageOf(identityOf(hexDigit).fingerprint)
 	}
 }
 
@@ -74,81 +74,81 @@
 
 	afterEach(() => vi.useRealTimers())
 
-	async function done(work: Promise<void>): Promise<void> {
+	async function settle(work: Promise<void>): Promise<void> {
 		await vi.advanceTimersByTimeAsync(2_000)
 		await work
 	}
 
-	it('writes nothing where no request is quarantined, also where some are suspect', async () => {
+	it('writes nothing if requests are suspect but none is quarantined', async () => {
 		const box = new Box(store, 'a')
 		box.crash('1', 2)
-		await done(box.quarantineStore.save())
+		await settle(box.quarantineStore.save())
 		expect(store.callCounts.get('write') ?? 0).toBe(0)
 	})
 
-	it('tells a process that starts later', async () => {
+	it('restores quarantined requests after a restart', async () => {
 		const before = new Box(store, 'a')
 		before.crash('1', 3)
-		await done(before.quarantineStore.save())
+		await settle(before.quarantineStore.save())
 		const after = new Box(store, 'a')
-		await done(after.syncWithStore())
+		await settle(after.syncWithStore())
 		expect(after.stageOf('1')).toBe('quarantined')
 		expect(store.callCounts.get('write')).toBe(1)
 	})
 
-	it('keeps what two boxes write at the same time', async () => {
+	it('merges concurrent writes of two boxes', async () => {
 		const [a, b] = [new Box(store, 'a'), new Box(store, 'b')]
 		a.crash('1', 3)
 		b.crash('2', 3)
-		await done(
+		await settle(
 			Promise.all([a.quarantineStore.save(), b.quarantineStore.save()]).then(() => undefined),
 		)
 		const later = new Box(store, 'c')
-		await done(later.syncWithStore())
+		await settle(later.syncWithStore())
 		expect([later.stageOf('1'), later.stageOf('2')]).toEqual(['quarantined', 'quarantined'])
 	})
 
-	it('writes later what could not be written, and tells of a request that was cleared', async () => {
+	it('repeats a failed write, and saves that a request was cleared', async () => {
 		const box = new Box(store, 'a')
 		box.crash('1', 3)
 		fate = 'refused'
-		await done(box.quarantineStore.save())
+		await settle(box.quarantineStore.save())
 		expect(box.logEvents.map((event) => event.name)).toEqual(['quarantine-not-stored'])
 		fate = 'served'
-		await done(box.syncWithStore())
+		await settle(box.syncWithStore())
 		box.quarantine.clear(identityOf('1').fingerprint, Date.now())
-		await done(box.quarantineStore.save())
+		await settle(box.quarantineStore.save())
 		const later = new Box(store, 'b')
-		await done(later.syncWithStore())
+		await settle(later.syncWithStore())
 		expect(later.stageOf('1')).toBe('free')
 	})
 
-	it('refuses a record of another writer, keeps what it knows and replaces it', async () => {
+	it('replaces an unreadable document by its own records', async () => {
 		const box = new Box(store, 'a')
 		box.crash('1', 3)
 		store.put(KEY, '{"writtenAt":"now"}')
-		await done(box.syncWithStore())
+		await settle(box.syncWithStore())
 		expect(box.logEvents.map((event) => event.name)).toEqual(['quarantine-unreadable'])
 		const later = new Box(store, 'b')
-		await done(later.syncWithStore())
+		await settle(later.syncWithStore())
 		expect(later.stageOf('1')).toBe('quarantined')
 	})
 
-	it('is written again where the store came back without it', async () => {
+	it('saves its records again after the store was restored from a backup', async () => {
 		const box = new Box(store, 'a')
 		const copies = [store.snapshot()]
 		box.crash('1', 3)
-		await done(box.syncWithStore())
+		await settle(box.syncWithStore())
 		copies.push(store.snapshot())
 		box.crash('2', 3)
-		await done(box.syncWithStore())
+		await settle(box.syncWithStore())
 		for (const copy of copies) {
 			store.restore(copy)
 			await vi.advanceTimersByTimeAsync(1_000)
-			await done(box.syncWithStore())
-			await done(box.syncWithStore())
+			await settle(box.syncWithStore())
+			await settle(box.syncWithStore())
 			const later = new Box(store, 'b')
-			await done(later.syncWithStore())
+			await settle(later.syncWithStore())
 			expect([later.stageOf('1'), later.stageOf('2')]).toEqual(['quarantined', 'quarantined'])
 		}
 	})
--- a/packages/gateway/src/lib/QuarantineStore.ts
+++ b/packages/gateway/src/lib/QuarantineStore.ts
@@ -11,77 +11,86 @@
 import * as E from 'fp-ts/lib/Either.js'
 import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
-/** What a {@link QuarantineStore} works with. */
 export interface QuarantineStoreOptions {
 	readonly store: KeyValueStore
-	/** Key of the one record of the fleet. */
+	/** Store key of the document that all boxes of the fleet share. */
 	readonly key: string
 	readonly quarantine: RequestQuarantine
-	/** The store told something new. */
+	/** Called with the records that the stored document changed. */
 	readonly onRecordsReceived: (records: readonly CrashRecord[]) => void
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
-	/** Time of day, in ms. */
+	/** Wall clock, in ms since the epoch. */
 	readonly wallTime: () => number
 	readonly log: (event: LogEvent) => void
 }
 
-/** The document: the time of day when it was written, in ms, and the records as boxes tell them. */
+/** `writtenAt` is wall clock time in ms since the epoch; `told` holds the output of {@link encodeCrashRecords}. */
 interface StoredQuarantine {
 	readonly writtenAt: number
 	readonly told: string
 }
 
-/** Tries of one write: boxes that meet read what the other wrote. */
+/** Attempts to save after write conflicts with other boxes; each attempt first merges the current document. */
 const MAX_WRITE_ATTEMPTS = 3
 
 /**
- * Keeps quarantined requests in the store, so that they outlast a loss of power of all boxes. It is written when a
- * request is quarantined or cleared, by the box that found it out, and read with the list of boxes: a calm day costs
- * no call. Requests that are only suspect are not kept: after a loss of power three more targets prove it.
+ * * Saves quarantined requests in the store, so that they survive a restart of all boxes. Boxes write the document
+ * when a request is quarantined or cleared, and read it together with the list of boxes, so that it costs no calls
+ * while nothing changes. Suspect requests that are not quarantined are not saved.
  */
 export class QuarantineStore {
-	/** Undefined where the record is absent. */
+	/** Undefined if the store has no document. */
 	private revision: StoreRevision | undefined
-	/** What the store holds, as far as this box knows. */
+	/** Contents of the store as of the last read or write of this box. */
 	private storedRecords: readonly CrashRecord[] = []
 	private isWriting = false
-	/** Era of the store in which it held that. */
+	/** Store era in which `storedRecords` was current. */
 	private era = 0
 
 	constructor(private readonly options: QuarantineStoreOptions) {}
 
-	/** Takes the record of the fleet; undefined where there is none. */
+	/** Merges the stored document of the fleet; `item` is undefined if there is none. */
 	applyStored(item: StoreItem | undefined): void {
 		this.resetOnNewEra()
 		if (!item || !isNewerRevision(item.revision, this.revision ?? NO_REVISION)) return
 		this.revision = item.revision
-		const { log, onRecordsReceived: onHeard, quarantine } = this.options
-		const told = this.decode(item)
-		if (!told) {
+		const { log, onRecordsReceived, quarantine } = this.options
+		const records = this.decode(item)
+		if (!records) {
 			log({
 				name: 'quarantine-unreadable',
 				fields: { key: item.key, revision: describeRevision(item.revision) },
 			})
 			return
 		}
-		this.storedRecords = told
-		const changed = quarantine.merge(told)
-		if (changed.length > 0) onHeard(changed)
+		this.storedRecords = records
+		const changed = quarantine.merge(records)
+		if (changed.length > 0) onRecordsReceived(changed)
 	}
 
-	/** Writes what the store lacks. To be called after each change, and now and then for writes that failed. */
+	/**
+	 * Saves the records that the store lacks. Must be called after each change, and periodically to repeat failed
+	 * writes.
+	 */
 	async save(): Promise<void> {
 		if (this.isWriting) return
 		this.resetOnNewEra()
 		this.isWriting = true
-		for (let tries = 0; tries < MAX_WRITE_ATTEMPTS && this.unsavedRecords.length > 0; tries++) {
+		for (
+			let attempt = 0;
+			attempt < MAX_WRITE_ATTEMPTS && this.unsavedRecords.length > 0;
+			attempt++
+		) {
 			if (await this.write()) break
 		}
 		this.isWriting = false
 	}
 
-	/** A store that came back from a copy may lack what it held: this box writes what it knows again. */
+	/**
+	 * Forgets what was stored if the store has been restored from a backup, so that this box saves its records
+	 * again.
+	 */
 	private resetOnNewEra(): void {
 		const { era } = this.options.store
 		if (era === this.era) return
@@ -90,24 +99,25 @@
 		this.revision = undefined
 	}
 
-	/** Records of this box that say more than those of the store. */
+	/** Records of this box that are newer than those in the store. */
 	private get unsavedRecords(): readonly CrashRecord[] {
-		const known = new Map(this.storedRecords.map((record) => [record.fingerprint, record]))
+		const stored = new Map(this.storedRecords.map((record) => [record.fingerprint, record]))
 		return this.options.quarantine.all.filter((record) => {
-			const before = known.get(record.fingerprint)
-			if (!before) return record.isQuarantined
+			const storedRecord = stored.get(record.fingerprint)
+			if (!storedRecord) return record.isQuarantined
 			return (
-				record.generation > before.generation || (record.isQuarantined && !before.isQuarantined)
+				record.generation > storedRecord.generation ||
+				(record.isQuarantined && !storedRecord.isQuarantined)
 			)
 		})
 	}
 
-	/** False where another box wrote meanwhile. */
+	/** Returns false on a write conflict with another box, true otherwise, also if the store failed. */
 	private async write(): Promise<boolean> {
 		const { key, log, now, quarantine, store, wallTime } = this.options
-		const names = new Set(this.storedRecords.map((record) => record.fingerprint))
+		const storedFingerprints = new Set(this.storedRecords.map((record) => record.fingerprint))
 		const records = quarantine.all.filter(
-			(record) => record.isQuarantined || names.has(record.fingerprint),
+			(record) => record.isQuarantined || storedFingerprints.has(record.fingerprint),
 		)
 		const document: StoredQuarantine = {
 			writtenAt: wallTime(),
--- a/packages/gateway/src/lib/RateSharing.test.ts
+++ b/packages/gateway/src/lib/RateSharing.test.ts
@@ -6,51 +6,51 @@
 
 const RATE = 1.4
 const WINDOW_MS = 4_000
-/** What a target in need bears in the window: half as much again as it names, and five requests. */
+/** Tolerated by a target in a window: 1.5 times the advertised rate, and five requests. */
 const MAX_REQUESTS_IN_WINDOW = 13
 const STEP_MS = 20
 
-/** A request comes to one box after the other, so many in a second at each. */
-function simulate(fleet: RateFleet, boxes: number, forMs: number, perBox: number): void {
-	let owed = 0
+/** Sends requests to the boxes in turn, `perBox` requests a second to each. */
+function simulate(fleet: RateFleet, boxes: number, durationMs: number, perBox: number): void {
+	let due = 0
 	let next = 0
-	for (let spent = 0; spent < forMs; spent += STEP_MS) {
-		owed += (boxes * perBox * STEP_MS) / 1_000
-		for (; owed >= 1; owed--) fleet.sendRequest(next++ % boxes)
+	for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += STEP_MS) {
+		due += (boxes * perBox * STEP_MS) / 1_000
+		for (; due >= 1; due--) fleet.sendRequest(next++ % boxes)
 		vi.advanceTimersByTime(STEP_MS)
 	}
 }
 
 describe('RateSharing', () => {
 	let fleet: RateFleet
-	let named: number | undefined
+	let advertised: number | undefined
 	beforeEach(() => {
 		vi.useFakeTimers({ now: 0 })
-		named = RATE
+		advertised = RATE
 	})
 	afterEach(() => {
 		fleet.stop()
 		vi.useRealTimers()
 	})
 
-	it.each([7, 75, 499])('spares a target one request of each of %i boxes', (boxes) => {
-		const askAll = (areInTouch: boolean): number => {
+	it.each([7, 75, 499])('limits the rate before each of %i boxes has sent a request', (boxes) => {
+		const countRequests = (areConnected: boolean): number => {
 			fleet = new RateFleet({
 				boxCount: boxes,
-				advertisedRate: () => named,
-				areConnected: () => areInTouch,
+				advertisedRate: () => advertised,
+				areConnected: () => areConnected,
 			})
 			simulate(fleet, boxes, WINDOW_MS, 4)
 			return fleet.requests.length
 		}
-		expect(askAll(false)).toBeGreaterThanOrEqual(boxes)
-		// What is under way when the first answer tells, and what the target named.
-		const underWay = boxes * 4 * 0.1
-		expect(askAll(true)).toBeLessThanOrEqual(underWay + MAX_REQUESTS_IN_WINDOW)
+		expect(countRequests(false)).toBeGreaterThanOrEqual(boxes)
+		// Requests in progress when the first response arrives, and the advertised rate.
+		const inProgress = boxes * 4 * 0.1
+		expect(countRequests(true)).toBeLessThanOrEqual(inProgress + MAX_REQUESTS_IN_WINDOW)
 	})
 
-	it.each([7, 75, 499])('keeps all of %i boxes to the rate, and uses most of it', (boxes) => {
-		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
+	it.each([7, 75, 499])('keeps %i boxes together within the rate and uses most of it', (boxes) => {
+		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => advertised })
 		simulate(fleet, boxes, 20_000, 4)
 		expect(fleet.maxRequestsIn(WINDOW_MS, 1_000)).toBeLessThanOrEqual(MAX_REQUESTS_IN_WINDOW)
 		const later = fleet.requests.filter(({ at }) => at > 4_000).length
@@ -58,55 +58,55 @@
 		expect(later).toBeLessThanOrEqual(RATE * 16 + 6)
 	})
 
-	it.each([7, 75, 499])('tells %i boxes when the target names none any more', (boxes) => {
-		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => named })
+	it.each([7, 75, 499])('tells %i boxes when the target no longer advertises a rate', (boxes) => {
+		fleet = new RateFleet({ boxCount: boxes, advertisedRate: () => advertised })
 		simulate(fleet, boxes, 6_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(0)
-		named = undefined
+		advertised = undefined
 		simulate(fleet, boxes, 1_500, 4)
 		expect(fleet.unlimitedBoxCount).toBe(boxes)
 	})
 
-	it.each([0, 0.25, 50])('follows a target that names %d instead, and its end', (other) => {
-		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
+	it.each([0, 0.25, 50])('applies a changed rate of %d requests a second, and its end', (other) => {
+		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => advertised })
 		simulate(fleet, 7, 5_000, 4)
-		named = other
+		advertised = other
 		simulate(fleet, 7, 12_000, 4)
 		const since = fleet.requests.filter(({ at }) => at > 9_000 && at <= 17_000).length
 		expect(since).toBeLessThanOrEqual(other * 8 + 6)
-		named = undefined
+		advertised = undefined
 		simulate(fleet, 7, 15_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(7)
 	})
 
-	it('lets a box that heard nothing of the end find out by itself, with one request at a time', () => {
-		let isApart = false
+	it('lets a partitioned box learn the end of the rate by probing the target', () => {
+		let isPartitioned = false
 		fleet = new RateFleet({
 			boxCount: 75,
-			advertisedRate: () => named,
-			areConnected: () => !isApart,
+			advertisedRate: () => advertised,
+			areConnected: () => !isPartitioned,
 		})
 		simulate(fleet, 75, 6_000, 4)
-		isApart = true
+		isPartitioned = true
 		simulate(fleet, 75, 3_000, 4)
 		const before = fleet.requests.length
 		simulate(fleet, 75, 20_000, 4)
-		// Each box tries one request in 5 to 10 s, as long as no box hears another.
+		// Each partitioned box sends one probe in 5 to 10 s.
 		expect(fleet.requests.length - before).toBeLessThan(75 * 4 + RATE * 20)
-		named = undefined
+		advertised = undefined
 		simulate(fleet, 75, 11_000, 4)
 		expect(fleet.unlimitedBoxCount).toBe(75)
 	})
 
-	it('says nothing where no target names a rate', () => {
-		named = undefined
-		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => named })
+	it('sends nothing if no target advertises a rate', () => {
+		advertised = undefined
+		fleet = new RateFleet({ boxCount: 7, advertisedRate: () => advertised })
 		simulate(fleet, 7, 5_000, 4)
 		expect([fleet.datagramCount, fleet.logEvents.length]).toEqual([0, 0])
 	})
 
-	it('says a rate that stays the same some times in 10 s, with one line at each box', () => {
-		fleet = new RateFleet({ boxCount: 499, advertisedRate: () => named })
+	it('repeats an unchanged rate a few times in 10 s and logs it once at each box', () => {
+		fleet = new RateFleet({ boxCount: 499, advertisedRate: () => advertised })
 		simulate(fleet, 499, 2_000, 1)
 		const [datagrams, bytes] = [fleet.datagramCount, fleet.byteCount]
 		simulate(fleet, 499, 10_000, 1)
@@ -116,30 +116,30 @@
 	})
 })
 
-describe('words about rates', () => {
+describe('rateCodec', () => {
 	const name = brandId<TargetName>('t')
 
-	it('come back as they were sent, with times of the box that hears them', () => {
-		const words = [
+	it('decodes what it encoded, with times on the clock of the receiver', () => {
+		const reports = [
 			{ name, bornAt: TARGET.bornAt, perSecond: 1.3, reportedAt: 90 },
 			{ name, bornAt: undefined, perSecond: undefined, reportedAt: 100 },
 		]
-		const heard = decodeRates(Buffer.from(encodeRates(words, 100)), 5_000)
-		expect(heard).toEqual([
-			{ ...words[0], reportedAt: 4_990 },
-			{ ...words[1], reportedAt: 5_000 },
+		const decoded = decodeRates(Buffer.from(encodeRates(reports, 100)), 5_000)
+		expect(decoded).toEqual([
+			{ ...reports[0], reportedAt: 4_990 },
+			{ ...reports[1], reportedAt: 5_000 },
 		])
 	})
 
-	it('leave out rows that can not be read, and are none where the bytes are something else', () => {
+	it('skips malformed rows and rejects other messages', () => {
 		const text =
 			'{"rates":[["a",1,2,3],["b",1,-2,3],["",1,2,3],["c",1,2,-3],["d",1,"2",3],["e",1,2],null,["f",null,null,0]]}'
-		expect(decodeRates(Buffer.from(text), 0)?.map((word) => word.name)).toEqual(['a', 'f'])
+		expect(decodeRates(Buffer.from(text), 0)?.map((report) => report.name)).toEqual(['a', 'f'])
 		for (const other of ['', '{"rates":', '{"rates":7}', '{"leaving":[]}', 'null'])
 			expect(decodeRates(Buffer.from(other), 0)).toBeUndefined()
 	})
 
-	it('never throw, whatever the bytes', () => {
+	it('never throws', () => {
 		fc.assert(
 			fc.property(fc.uint8Array(), (bytes) => {
 				decodeRates(Buffer.concat([Buffer.from('{"rates":'), bytes]), 0)
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -2,30 +2,29 @@
 import { decodeWork, encodeWork } from './workCodec.js'
 import type { PeerDatagrams } from './PeerDatagrams.js'
 
-/** What {@link WorkSharing} works with. */
 export interface WorkSharingOptions {
 	readonly box: BoxName
 	readonly registry: TargetRegistry
 	readonly datagrams: PeerDatagrams
-	/** Addresses of the boxes that are told. */
+	/** Addresses of the boxes to which this box sends its work. */
 	readonly peers: () => readonly string[]
-	/** This box tells the work of the boxes that tell it, together with its own. */
+	/** This box sends the work of the boxes that report to it together with its own. */
 	readonly isHub: () => boolean
 	readonly now: () => number
 }
 
 const SEND_INTERVAL_MS = 25
-/** Work that does not change is told again after this, in ms, for datagrams that were lost. */
+/** Interval at which unchanged work is sent again in case a datagram was lost, in ms. */
 const RESEND_INTERVAL_MS = 200
-/** The sender under which work is kept that came with an answer of a hub. */
+/** Sender name under which the work from responses of a hub is registered. */
 const FLEET_SENDER = brandId<BoxName>('(fleet)')
 
 /**
- * Tells other boxes by datagram what this box has under way at each target, and takes their word in:
- * the load that targets tell of themselves is old, and says nothing of prompts still to be read. In a
- * small fleet all boxes tell each other. In a large one each tells one hub, the hubs tell each other,
- * and a box hears the sum with the answers of a hub: datagrams then grow with boxes, not with their
- * square. A lost datagram costs a worse choice, nothing else.
+ * * Exchanges by datagram how much work each box has in progress at each target. The load that targets report
+ * themselves is older, and does not include prompts that are still to be processed. In a small fleet all boxes send
+ * to each other. In a large fleet each box sends to one hub, hubs send to each other, and boxes receive the total
+ * with the responses of a hub, so that the number of datagrams grows linearly with the fleet. A lost datagram only
+ * makes placement less accurate.
  */
 export class WorkSharing {
 	private readonly hubs = new Set<BoxName>()
@@ -45,21 +44,21 @@
 		clearInterval(this.timer)
 	}
 
-	/** Work of all boxes that this one knows of, but for the one that asks. */
-	fleetWork(asker: BoxName): TargetWork[] {
-		const { registry: board, now } = this.options
-		return board.openWork((box) => box !== asker && box !== FLEET_SENDER, now())
+	/** All work known to this box, except that of the box that asks. */
+	fleetWork(caller: BoxName): TargetWork[] {
+		const { registry, now } = this.options
+		return registry.openWork((box) => box !== caller && box !== FLEET_SENDER, now())
 	}
 
-	/** Takes in what a hub knows of all other boxes. */
+	/** Records the work of all other boxes as reported by a hub. */
 	noteFleetWork(work: readonly TargetWork[]): void {
 		this.options.registry.notePeerWork(FLEET_SENDER, work, this.options.now())
 	}
 
 	private sendWork(): void {
-		const { box, registry: board, now, peers } = this.options
+		const { box, registry, now, peers } = this.options
 		const isHub = this.options.isHub()
-		const work = board.openWork((other) => isHub && this.isNonHub(other), now())
+		const work = registry.openWork((other) => isHub && this.isNonHub(other), now())
 		const message = encodeWork({ box, isHub, work })
 		const isRepeat = message === this.lastMessage
 		if (isRepeat && (work.length === 0 || now() - this.lastSentAt < RESEND_INTERVAL_MS)) return
@@ -69,7 +68,7 @@
 		for (const peer of peers()) this.options.datagrams.send(bytes, peer)
 	}
 
-	/** A box that tells its own work only, and only to this one. */
+	/** True for a box that reports only its own work. */
 	private isNonHub(box: BoxName): boolean {
 		return box !== FLEET_SENDER && !this.hubs.has(box)
 	}
--- a/packages/gateway/src/lib/crashRecordCodec.test.ts
+++ b/packages/gateway/src/lib/crashRecordCodec.test.ts
@@ -8,7 +8,7 @@
 import { describe, expect, it } from 'vitest'
 import { decodeCrashRecords, encodeCrashRecords } from './crashRecordCodec.js'
 
-/** Documents that are tried; by hand, many more. */
+/** Number of generated documents; set FUZZ_CASES to run more. */
 const CASES = Number(process.env['FUZZ_CASES'] ?? 2_000)
 
 const RECORD: CrashRecord = {
@@ -21,8 +21,8 @@
 	changedAt: 960,
 }
 
-describe('quarantineCodec', () => {
-	it('reads what it wrote, on the clock of the reader', () => {
+describe('crashRecordCodec', () => {
+	it('decodes what it encoded, with times on the clock of the receiver', () => {
 		for (const hadSecondChance of [false, true]) {
 			const record = { ...RECORD, hadSecondChance }
 			const bytes = Buffer.from(encodeCrashRecords([record], 1_000))
@@ -33,7 +33,7 @@
 		}
 	})
 
-	it('leaves out rows that it can not read, and takes nothing else', () => {
+	it('skips malformed rows and rejects other messages', () => {
 		const good = (JSON.parse(encodeCrashRecords([RECORD], 1_000)) as { crashes: unknown[] })
 			.crashes[0]
 		const bytes = Buffer.from(
@@ -51,7 +51,7 @@
 			expect(decodeCrashRecords(Buffer.from(text), 1_000)).toBeUndefined()
 	})
 
-	it('never throws, and never gives a record with a field that is none', () => {
+	it('never throws and never returns an invalid record', () => {
 		const documents = fc.oneof(
 			fc.uint8Array().map((bytes) => Buffer.from(bytes)),
 			fc.json().map((text) => Buffer.from(text)),
--- a/packages/gateway/src/lib/leavingTargetCodec.ts
+++ b/packages/gateway/src/lib/leavingTargetCodec.ts
@@ -1,14 +1,14 @@
 import { brandId, type TargetName, type TargetIdentity } from '@stallwing/core'
 import { readDatagramRows } from './readDatagramRows.js'
 
-/** Name of a target and the time of day of its start, in ms; null where it has none. */
+/** Name of a target and its start time in ms since the epoch; null if unknown. */
 type WireTarget = readonly [string, number | null]
 
 interface WireMessage {
 	readonly leaving: readonly WireTarget[]
 }
 
-/** Targets that leave, as a text for other boxes. */
+/** Encodes leaving targets as a message to other boxes. */
 export function encodeLeavingTargets(targets: readonly TargetIdentity[]): string {
 	const message: WireMessage = {
 		leaving: targets.map(({ name, bornAt }) => [name, bornAt ?? null]),
@@ -16,7 +16,7 @@
 	return JSON.stringify(message)
 }
 
-/** Undefined where the bytes are something else. Rows that can't be read are left out. */
+/** Returns undefined if the bytes are another kind of message. Skips malformed rows. */
 export function decodeLeavingTargets(bytes: Buffer): readonly TargetIdentity[] | undefined {
 	return readDatagramRows(bytes, 'leaving')?.flatMap((row) => decodeRow(row) ?? [])
 }
--- a/packages/gateway/src/lib/rateCodec.ts
+++ b/packages/gateway/src/lib/rateCodec.ts
@@ -1,31 +1,34 @@
 import { brandId, type TargetName, type TargetIdentity } from '@stallwing/core'
 import { readDatagramRows } from './readDatagramRows.js'
 
-/** What a target last said of the requests a second that it takes from all boxes together. */
+/** The last request rate that a target advertised as the limit for all boxes together. */
 export interface RateReport extends TargetIdentity {
-	/** Undefined: it names none any more. */
+	/** Requests per second; undefined if the target no longer advertises a rate. */
 	readonly perSecond: number | undefined
-	/** When it said so, in ms of this box's steady clock. */
+	/** Time of the target's response, on the monotonic clock of this box, in ms. */
 	readonly reportedAt: number
 }
 
-/** Name, time of day of the start in ms or null, requests a second or null, age in ms: clocks of boxes differ. */
+/**
+ * Name, start time in ms since the epoch or null, requests per second or null, age in ms. The message carries ages
+ * because the clocks of boxes differ.
+ */
 type WireRate = readonly [string, number | null, number | null, number]
 
 interface WireMessage {
 	readonly rates: readonly WireRate[]
 }
 
-/** What targets said, as a text for other boxes. `now` is the steady clock of this box, in ms. */
-export function encodeRates(words: readonly RateReport[], now: number): string {
-	const rates = words.map(({ name, bornAt, perSecond, reportedAt: saidAt }): WireRate => {
-		return [name, bornAt ?? null, perSecond ?? null, Math.max(0, Math.round(now - saidAt))]
+/** Encodes advertised rates as a message to other boxes. `now` is the monotonic clock of this box, in ms. */
+export function encodeRates(reports: readonly RateReport[], now: number): string {
+	const rates = reports.map(({ name, bornAt, perSecond, reportedAt }): WireRate => {
+		return [name, bornAt ?? null, perSecond ?? null, Math.max(0, Math.round(now - reportedAt))]
 	})
 	const message: WireMessage = { rates }
 	return JSON.stringify(message)
 }
 
-/** Undefined where the bytes are something else. Rows that can't be read are left out. */
+/** Returns undefined if the bytes are another kind of message. Skips malformed rows. */
 export function decodeRates(bytes: Buffer, now: number): readonly RateReport[] | undefined {
 	return readDatagramRows(bytes, 'rates')?.flatMap((row) => decodeRow(row, now) ?? [])
 }
--- a/packages/gateway/src/lib/readDatagramRows.ts
+++ b/packages/gateway/src/lib/readDatagramRows.ts
@@ -1,15 +1,15 @@
 /**
- * Rows of a datagram `{"FIELD":[...]}` of another box; undefined where the bytes are something else. Datagrams about
- * work, some dozens a second from each box, are told by their first bytes and not parsed here.
+ * Returns the rows of a datagram `{"FIELD":[...]}`, or undefined if the bytes are another kind of message. Checks the
+ * first bytes before parsing, because each box receives dozens of work datagrams a second from each other box.
  */
 export function readDatagramRows(bytes: Buffer, field: string): readonly unknown[] | undefined {
-	const beginning = Buffer.from(`{"${field}":`)
-	if (!bytes.subarray(0, beginning.length).equals(beginning)) return undefined
+	const prefix = Buffer.from(`{"${field}":`)
+	if (!bytes.subarray(0, prefix.length).equals(prefix)) return undefined
 	let message: unknown
 	try {
 		message = JSON.parse(bytes.toString('utf8'))
 	} catch {
-		// It was cut short on its way.
+		// The datagram is truncated.
 		return undefined
 	}
 	const rows = (message as Readonly<Record<string, unknown>>)[field]
--- a/packages/gateway/src/lib/requestQuarantine.test.ts
+++ b/packages/gateway/src/lib/requestQuarantine.test.ts
@@ -1,10 +1,6 @@
 /**
- * What was seen: a request ended one target after the other, eight and ten of them, for as long as its caller came back.
- * How it came about: each try reached another box, or the same one as a new request, and was sent to a target that was
- * up again; all other requests at that target broke off with it.
- * Cause: what a request did to its targets was filed under the target and under the try, and forgotten with both.
- * Proof: lines of broken answers carry the content of the request; all ends of targets in a row had one in common, sent
- * by four boxes, some of which had seen an earlier end themselves.
+ * * Guards against a request that crashes one target after another while its caller retries it at different boxes,
+ * which also interrupts all other requests at these targets.
  */
 import { CrashingTarget, MemoryStore } from '@stallwing/standins'
 import { afterEach, describe, expect, it } from 'vitest'
@@ -15,34 +11,32 @@
 const FATAL = 'fatal'
 const BOX_COUNT = 4
 const TARGET_COUNT = 12
-/** Runs of a request that prove that it ends its targets. */
 const CRASHES_UNTIL_QUARANTINE = 3
-/** Time after the third end from which boxes in touch must know of it, in ms. */
+/** Time after the third crash by which all connected boxes must have quarantined the request, in ms. */
 const PROPAGATION_MS = 3_000
-/** Pause between two tries of the caller, in ms. */
 const RETRY_DELAY_MS = 150
-/** For how long the caller comes back, in ms: the third end, the time in touch, and ten tries more. */
+/** How long the caller keeps retrying, in ms: until the third crash, the propagation time and ten more retries. */
 const DURATION_MS = 6_000
 
-describe('a request that ends its targets', () => {
+describe('a request that crashes its targets', () => {
 	let fleet: CrashFleet
 	afterEach(() => fleet.stop())
 
 	const routes = ['/once/', '/again/', '/resume/']
-	it.each(routes)('is refused by all boxes after three of them, on %s', async (route) => {
+	it.each(routes)('is refused by all boxes after three crashes, on %s', async (route) => {
 		fleet = new CrashFleet()
 		await fleet.start()
 		const others = fleet.sendOtherRequests(route)
 		await fleet.sendFatalRequests(route)
 		const served = await others
 		expect(fleet.crashTimes.length).toBeGreaterThanOrEqual(CRASHES_UNTIL_QUARANTINE)
-		// One that another box has already sent when the third target ends.
+		// Each other box may already have sent the request when the third target crashes.
 		expect(fleet.crashTimes.length).toBeLessThanOrEqual(CRASHES_UNTIL_QUARANTINE + BOX_COUNT)
 		expect(fleet.lateCrashCount).toBe(0)
 		expect(served.lateFailures).toBe(0)
 	})
 
-	it('is still refused when all boxes have started anew', async () => {
+	it('is still refused after all boxes have restarted', async () => {
 		fleet = new CrashFleet()
 		await fleet.start()
 		await fleet.sendFatalRequests('/once/', 2_000)
@@ -53,7 +47,7 @@
 		expect(fleet.crashTimes.length).toBe(before)
 	})
 
-	it('runs again at all boxes once an operator released it', async () => {
+	it('is allowed again at all boxes after an operator released it', async () => {
 		fleet = new CrashFleet()
 		await fleet.start()
 		await fleet.sendFatalRequests('/once/', 2_000)
@@ -65,7 +59,7 @@
 	})
 })
 
-/** Boxes over one store, and targets that one request ends. */
+/** Boxes with a common store, and targets that one request crashes. */
 class CrashFleet {
 	private readonly store = new MemoryStore({ now: () => performance.now(), sleep })
 	private boxes: readonly TestBox[] = []
@@ -78,7 +72,7 @@
 		await this.startBoxes()
 	}
 
-	/** All boxes end at once and start anew: what they had in memory is gone. */
+	/** Restarts all boxes at once, which clears their memory. */
 	async restartBoxes(): Promise<void> {
 		await Promise.all(this.boxes.map((box) => box.stop()))
 		await this.startBoxes()
@@ -96,43 +90,42 @@
 		await Promise.all(this.boxes.map((box) => box.stop()))
 	}
 
-	/** Requests that any box holds back. */
+	/** Fingerprints of the requests that any box has quarantined. */
 	get quarantined(): string[] {
 		return this.boxes.flatMap((box) =>
 			box.gateway.status().quarantined.map((request) => request.fingerprint),
 		)
 	}
 
-	/** Releases a request at one box. */
 	release(fingerprint: string): boolean {
 		return this.boxes[0]?.gateway.releaseQuarantined(fingerprint) ?? false
 	}
 
-	/** Times at which targets ended, in order. */
+	/** Times at which targets crashed, in order. */
 	get crashTimes(): number[] {
 		return this.targets.flatMap((target) => target.crashTimes).sort((a, b) => a - b)
 	}
 
-	/** Ends of targets at a time at which all boxes had to know. */
+	/** Number of crashes after the time by which all boxes must have quarantined the request. */
 	get lateCrashCount(): number {
-		const proved = this.crashTimes[CRASHES_UNTIL_QUARANTINE - 1] ?? Infinity
-		return this.crashTimes.filter((at) => at > proved + PROPAGATION_MS).length
+		const quarantinedAt = this.crashTimes[CRASHES_UNTIL_QUARANTINE - 1] ?? Infinity
+		return this.crashTimes.filter((at) => at > quarantinedAt + PROPAGATION_MS).length
 	}
 
-	/** One caller that comes back to any box, whatever the answer. */
-	async sendFatalRequests(route: string, forMs = DURATION_MS): Promise<void> {
-		const until = performance.now() + forMs
-		for (let i = 0; performance.now() < until; i++) {
+	/** Sends the fatal request to the boxes in turn, regardless of the responses. */
+	async sendFatalRequests(route: string, durationMs = DURATION_MS): Promise<void> {
+		const stopAt = performance.now() + durationMs
+		for (let i = 0; performance.now() < stopAt; i++) {
 			void this.boxes[i % BOX_COUNT]?.sendRequest(`${route}x`, { id: `fatal-${i}`, body: FATAL })
 			await sleep(RETRY_DELAY_MS)
 		}
 	}
 
-	/** Other callers beside it; how many were not served although all boxes had to know. */
+	/** Sends other requests. Returns how many failed after all boxes must have quarantined the fatal one. */
 	async sendOtherRequests(route: string): Promise<{ readonly lateFailures: number }> {
-		const until = performance.now() + DURATION_MS
+		const stopAt = performance.now() + DURATION_MS
 		let lateFailures = 0
-		for (let i = 0; performance.now() < until; i++) {
+		for (let i = 0; performance.now() < stopAt; i++) {
 			const box = this.boxes[(i * 3) % BOX_COUNT]
 			const at = performance.now()
 			void box
--- a/packages/gateway/src/lib/workCodec.test.ts
+++ b/packages/gateway/src/lib/workCodec.test.ts
@@ -7,13 +7,13 @@
 ]
 
 describe('workCodec', () => {
-	it('reads what it wrote', () => {
+	it('decodes what it encoded', () => {
 		const message = { box: brandId<BoxName>('box-1'), isHub: true, work: WORK }
 		expect(decodeWork(Buffer.from(encodeWork(message)))).toEqual(message)
 		expect(fromWireWork(toWireWork(WORK))).toEqual(WORK)
 	})
 
-	it('takes nothing else', () => {
+	it('rejects other messages', () => {
 		for (const text of ['', 'null', '{}', '{"box":1,"work":[]}', '{"box":"b","work":3}'])
 			expect(decodeWork(Buffer.from(text))).toBeUndefined()
 	})
--- a/packages/gateway/src/lib/workCodec.ts
+++ b/packages/gateway/src/lib/workCodec.ts
@@ -1,14 +1,14 @@
 import { brandId, type BoxName, type TargetIncarnation, type TargetWork } from '@stallwing/core'
 
-/** Work at targets, as one box tells it to another. */
+/** Work in progress at targets, as one box reports it to another. */
 export interface WorkMessage {
 	readonly box: BoxName
-	/** The work is that of several boxes which tell this one. */
+	/** The sender is a hub, and its work includes that of the boxes that report to it. */
 	readonly isHub: boolean
 	readonly work: readonly TargetWork[]
 }
 
-/** Life, unread tokens and open requests of a target. */
+/** Incarnation, prefill tokens and open requests of a target. */
 export type WireWork = readonly [string, number, number]
 
 interface WireMessage {
@@ -17,13 +17,13 @@
 	readonly work: readonly WireWork[]
 }
 
-/** A datagram for a message. */
+/** Encodes a message as a datagram. */
 export function encodeWork({ box, isHub, work }: WorkMessage): string {
 	const message: WireMessage = { box, hub: isHub, work: toWireWork(work) }
 	return JSON.stringify(message)
 }
 
-/** Undefined where the bytes are something else. */
+/** Returns undefined if the bytes are another kind of message. */
 export function decodeWork(bytes: Buffer): WorkMessage | undefined {
 	try {
 		const message = JSON.parse(bytes.toString('utf8')) as Partial<WireMessage>
@@ -35,12 +35,11 @@
 	}
 }
 
-/** Rows as they go on the wire. */
 export function toWireWork(work: readonly TargetWork[]): WireWork[] {
 	return work.map((row) => [row.incarnation, Math.round(row.prefillTokens), row.openRequests])
 }
 
-/** Undefined where the document is no list of rows. */
+/** Returns undefined if the value is not a list. */
 export function fromWireWork(rows: unknown): TargetWork[] | undefined {
 	if (!Array.isArray(rows)) return undefined
 	return (rows as WireWork[]).map(([incarnation, prefillTokens, openRequests]) => ({
