--- a/packages/gateway/src/lib/CrashDetector.ts
+++ b/packages/gateway/src/lib/CrashDetector.ts
@@ -41,7 +41,7 @@
 }
 
 /**
- * * Time for which an interrupted run is kept in case its target turns out to have crashed, in ms. Within this time
+ * Time for which an interrupted run is kept in case its target turns out to have crashed, in ms. Within this time
  * the target's entry expires after three missed heartbeats, or the target restarts under its name.
  */
 const PENDING_RUN_RETENTION_MS = 10_000
@@ -51,7 +51,7 @@
 const MAX_ENDED_INCARNATIONS = 1_000
 
 /**
- * * Distinguishes a crashed target from other reasons for an interrupted response, and records a crash for each
+ * Distinguishes a crashed target from other reasons for an interrupted response, and records a crash for each
  * request that the target was running. If the target closed the connection, a new connection shows at once whether
  * the target still runs: a refused one means that it crashed, an accepted one goes to the pool. If the target does
  * not answer the probe, a later change of the target list decides.
--- a/packages/gateway/src/lib/CrashProtection.ts
+++ b/packages/gateway/src/lib/CrashProtection.ts
@@ -43,7 +43,7 @@
 /** A quarantined request in the operator status. @public */
 export interface QuarantineStatus {
 	readonly fingerprint: RequestFingerprint
-	/** Incarnations of targets that crashed while they ran it. */
+	/** Incarnations of targets that crashed while they ran the request. */
 	readonly lives: readonly string[]
 	/** Time since the last crash, in ms. */
 	readonly ageMs: number
@@ -55,7 +55,7 @@
 const PROBATION_RETRY_AFTER_MS = 1_000
 
 /**
- * * Stops requests that crash targets from reaching further targets. Detects crashes, shares crash records with the
+ * Stops requests that crash targets from reaching further targets. Detects crashes, shares crash records with the
  * other boxes and saves quarantined requests in the store.
  */
 export class CrashProtection {
@@ -72,7 +72,7 @@
 		this.crashDetector = new CrashDetector({
 			...options,
 			quarantine,
-			isAvailable: (life, target) => options.registry.isAvailable(life, target),
+			isAvailable: (incarnation, target) => options.registry.isAvailable(incarnation, target),
 			onRecordChanged: (record) => this.publish(record),
 		})
 		this.quarantineSharing = new QuarantineSharing({
--- a/packages/gateway/src/lib/LeavingTargetSharing.test.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.test.ts
@@ -119,7 +119,7 @@
 		expect(fleet.registries[1]?.isAvailable(incarnationOf(later), later.name)).toBe(true)
 	})
 
-	it('lets an unreachable box learn it from the target', () => {
+	it('lets an unreachable box learn from the target that it is leaving', () => {
 		fleet = new Fleet(2)
 		fleet.isPartitioned = true
 		fleet.noteLeaving(0)
@@ -131,7 +131,7 @@
 
 	// Requests in progress at termination are interrupted. Without sharing, some boxes learn of it too late.
 	it.each([7, 75, 499])(
-		'sends no request that is still in progress when the target terminates 2 s after its notice, with %i boxes',
+		'leaves no request in progress at a target that terminates 2 s after its notice, with %i boxes',
 		(boxes) => {
 			const interruptedRequests = (isPartitioned: boolean): number => {
 				fleet = new Fleet(boxes)
--- a/packages/gateway/src/lib/LeavingTargetSharing.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.ts
@@ -30,7 +30,7 @@
 const MAX_TARGETS_PER_DATAGRAM = 20
 
 /**
- * * Tells other boxes which targets are leaving while the target list does not show it, because the store is
+ * Tells other boxes which targets are leaving while the target list does not show it, because the store is
  * unavailable or the list is late. Without this, each box would learn it from a response of its own, and requests
  * sent shortly before the target stops would be interrupted. Losing a datagram has no worse effect than that, so
  * nothing is sent twice and received reports are not forwarded. Nothing is sent while no target is leaving.
--- a/packages/gateway/src/lib/PeerClient.ts
+++ b/packages/gateway/src/lib/PeerClient.ts
@@ -15,7 +15,7 @@
 import { fromWireWork } from './workCodec.js'
 import { ACCEPT_PATH, CHANGES_PATH, DRAWS_PATH, LEND_PATH, OPEN_PATH } from './PeerServer.js'
 
-/** Long, because tokens of a response that times out stay counted as spent at the lender. */
+/** Long, because the tokens of a response that arrives after the timeout are lost to both boxes. */
 const LEND_TIMEOUT_MS = 1_500
 /** A timeout that fires later than this after its due time shows that this box itself was overloaded, in ms. */
 const LOCAL_DELAY_TOLERANCE_MS = 40
@@ -25,7 +25,7 @@
 const CHANGES_TIMEOUT_MARGIN_MS = 300
 const MAX_CONNECTIONS = 6
 /**
- * * One connection for each prefix, and one for a call that is being aborted. These are separate from other calls
+ * One connection for each prefix, and one for a call that is being aborted. These are separate from other calls
  * because an unanswered lending call occupies its connection for up to 1.5 s.
  */
 const MAX_CHANGES_CONNECTIONS = 3
--- a/packages/gateway/src/lib/PeerDatagrams.ts
+++ b/packages/gateway/src/lib/PeerDatagrams.ts
@@ -5,7 +5,7 @@
 /** Handles a datagram from another box. Returns false if it is of a kind that this handler does not know. */
 export type DatagramHandler = (bytes: Buffer) => boolean
 
-/** Sends and receives datagrams between boxes. Delivery is not guaranteed; senders repeat what matters. */
+/** Sends and receives datagrams between boxes. Delivery is not guaranteed. */
 export class PeerDatagrams {
 	private readonly socket: Socket
 	private readonly handlers: DatagramHandler[] = []
@@ -13,7 +13,7 @@
 	constructor() {
 		this.socket = createSocket('udp4')
 		this.socket.on('message', (bytes) => this.receive(bytes))
-		// The socket reports unreachable peers here. Senders repeat what matters, so there is nothing to do.
+		// The socket reports unreachable peers here. Nothing to do, because delivery is not guaranteed.
 		this.socket.on('error', () => undefined)
 	}
 
--- a/packages/gateway/src/lib/PeerServer.ts
+++ b/packages/gateway/src/lib/PeerServer.ts
@@ -9,24 +9,24 @@
 import { toWireWork } from './workCodec.js'
 import { listenOn, type ListenAddress } from './listenOn.js'
 
-/** Lends tokens to the calling box. */
+/** Endpoint that lends tokens to the requesting box. */
 export const LEND_PATH = '/lend'
-/** Accepts tokens from a stopping box. */
+/** Endpoint that accepts tokens from a stopping box. */
 export const ACCEPT_PATH = '/accept'
-/** Answers whether this box accepts tokens. */
+/** Endpoint that shows whether this box accepts tokens. */
 export const OPEN_PATH = '/open'
 
-/** Stores a replica of the draws of the calling box. */
+/** Endpoint that stores a replica of the draws of the requesting box. */
 export const DRAWS_PATH = '/draws'
-/** Waits for changes in the store. */
+/** Endpoint that waits for changes in the store. */
 export const CHANGES_PATH = '/changes'
 
-/** Implementations of the calls that other boxes make. */
+/** Handlers of the requests from other boxes. */
 export interface PeerHandlers {
 	/** Lends tokens of an account. Resolves to undefined if this box has returned all its tokens. */
 	lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined>
-	/** Work at targets of all boxes except the calling box, sent with the response to it. */
-	fleetWork(caller: BoxName): readonly TargetWork[]
+	/** Work at targets of all boxes except the requesting box, sent with the response to it. */
+	fleetWork(requestingBox: BoxName): readonly TargetWork[]
 	/** Accepts tokens that were held under a version of the budgets. Returns false if this box cannot use them. */
 	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean
 	/**
@@ -84,8 +84,8 @@
 	): Promise<void> {
 		const ahead = Math.max(0, Number(url.searchParams.get('ahead')) || 0)
 		const result = await this.handlers.lend(account, { tokens, ahead })
-		const caller = brandId<BoxName>(url.searchParams.get('box') ?? '')
-		const work = toWireWork(this.handlers.fleetWork(caller))
+		const requestingBox = brandId<BoxName>(url.searchParams.get('box') ?? '')
+		const work = toWireWork(this.handlers.fleetWork(requestingBox))
 		const nearlySpent = result?.nearlySpent.map(({ account: name, left }) => [
 			name,
 			Math.round(left),
--- a/packages/gateway/src/lib/PeerSharing.ts
+++ b/packages/gateway/src/lib/PeerSharing.ts
@@ -19,7 +19,7 @@
 }
 
 /**
- * * Everything that boxes share by datagram: work in progress at targets, requests that crash targets, leaving
+ * Everything that boxes share by datagram: work in progress at targets, requests that crash targets, leaving
  * targets and the rates that targets advertise.
  */
 export class PeerSharing {
--- a/packages/gateway/src/lib/QuarantineSharing.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.ts
@@ -30,7 +30,7 @@
 const MAX_RECORDS_PER_SEND = 40
 
 /**
- * * Exchanges crash records with other boxes by datagram, so that it also works while the store is unavailable.
+ * Exchanges crash records with other boxes by datagram, so that it also works while the store is unavailable.
  * Changed records go to all boxes at once. To make up for lost datagrams, network partitions and restarts, each box
  * also gossips recent records of quarantined requests and requests on probation to a few random boxes. A box that
  * receives a record older than its own answers with its own. Nothing is sent while no target crashes.
--- a/packages/gateway/src/lib/QuarantineStore.test.ts
+++ b/packages/gateway/src/lib/QuarantineStore.test.ts
@@ -64,12 +64,12 @@
 
 describe('QuarantineStore', () => {
 	let store: MemoryStore
-	let fate: CallOutcome
+	let callOutcome: CallOutcome
 
 	beforeEach(() => {
 		vi.useFakeTimers()
-		fate = 'served'
-		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => fate })
+		callOutcome = 'served'
+		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => callOutcome })
 	})
 
 	afterEach(() => vi.useRealTimers())
@@ -111,10 +111,10 @@
 	it('repeats a failed write, and saves that a request was cleared', async () => {
 		const box = new Box(store, 'a')
 		box.crash('1', 3)
-		fate = 'refused'
+		callOutcome = 'refused'
 		await settle(box.quarantineStore.save())
 		expect(box.logEvents.map((event) => event.name)).toEqual(['quarantine-not-stored'])
-		fate = 'served'
+		callOutcome = 'served'
 		await settle(box.syncWithStore())
 		box.quarantine.clear(identityOf('1').fingerprint, Date.now())
 		await settle(box.quarantineStore.save())
@@ -136,14 +136,14 @@
 
 	it('saves its records again after the store was restored from a backup', async () => {
 		const box = new Box(store, 'a')
-		const copies = [store.snapshot()]
+		const backups = [store.snapshot()]
 		box.crash('1', 3)
 		await settle(box.syncWithStore())
-		copies.push(store.snapshot())
+		backups.push(store.snapshot())
 		box.crash('2', 3)
 		await settle(box.syncWithStore())
-		for (const copy of copies) {
-			store.restore(copy)
+		for (const backup of backups) {
+			store.restore(backup)
 			await vi.advanceTimersByTimeAsync(1_000)
 			await settle(box.syncWithStore())
 			await settle(box.syncWithStore())
--- a/packages/gateway/src/lib/QuarantineStore.ts
+++ b/packages/gateway/src/lib/QuarantineStore.ts
@@ -35,7 +35,7 @@
 const MAX_WRITE_ATTEMPTS = 3
 
 /**
- * * Saves quarantined requests in the store, so that they survive a restart of all boxes. Boxes write the document
+ * Saves quarantined requests in the store, so that they survive a restart of all boxes. Boxes write the document
  * when a request is quarantined or cleared, and read it together with the list of boxes, so that it costs no calls
  * while nothing changes. Suspect requests that are not quarantined are not saved.
  */
--- a/packages/gateway/src/lib/RateSharing.ts
+++ b/packages/gateway/src/lib/RateSharing.ts
@@ -34,7 +34,7 @@
 const MAX_TRACKED_INCARNATIONS = 5_000
 
 /**
- * * Tells other boxes the request rates that targets advertise for all boxes together. Other boxes then need not
+ * Tells other boxes the request rates that targets advertise for all boxes together. Other boxes then need not
  * send a request to learn the rate, and boxes that may not send learn when it no longer applies. A lost datagram
  * costs one request that the target answers with its rate, or a few seconds without that target. Only rates that
  * this box received from the target itself are shared. Nothing is sent while no target advertises a rate.
@@ -54,14 +54,14 @@
 	}
 
 	/**
-	 * Shares the rate that a target advertised to this box; undefined if it no longer does. `isNews`: the rate
-	 * changed.
+	 * Shares the rate that a target advertised to this box. `perSecond` is undefined if the target no longer advertises
+	 * one. An unchanged rate is shared at most once in {@link RESEND_INTERVAL_MS}.
 	 */
-	share(target: TargetIdentity, perSecond: number | undefined, isNews: boolean): void {
+	share(target: TargetIdentity, perSecond: number | undefined, hasChanged: boolean): void {
 		const now = this.options.now()
 		const incarnation = incarnationOf(target)
 		if (
-			!isNews &&
+			!hasChanged &&
 			now - (this.lastSharedAt.get(incarnation) ?? Number.NEGATIVE_INFINITY) < RESEND_INTERVAL_MS
 		)
 			return
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -20,7 +20,7 @@
 const FLEET_SENDER = brandId<BoxName>('(fleet)')
 
 /**
- * * Exchanges by datagram how much work each box has in progress at each target. The load that targets report
+ * Exchanges by datagram how much work each box has in progress at each target. The load that targets report
  * themselves is older, and does not include prompts that are still to be processed. In a small fleet all boxes send
  * to each other. In a large fleet each box sends to one hub, hubs send to each other, and boxes receive the total
  * with the responses of a hub, so that the number of datagrams grows linearly with the fleet. A lost datagram only
@@ -44,10 +44,10 @@
 		clearInterval(this.timer)
 	}
 
-	/** All work known to this box, except that of the box that asks. */
-	fleetWork(caller: BoxName): TargetWork[] {
+	/** All work known to this box, except that of the requesting box. */
+	fleetWork(requestingBox: BoxName): TargetWork[] {
 		const { registry, now } = this.options
-		return registry.openWork((box) => box !== caller && box !== FLEET_SENDER, now())
+		return registry.openWork((box) => box !== requestingBox && box !== FLEET_SENDER, now())
 	}
 
 	/** Records the work of all other boxes as reported by a hub. */
--- a/packages/gateway/src/lib/requestQuarantine.test.ts
+++ b/packages/gateway/src/lib/requestQuarantine.test.ts
@@ -1,5 +1,5 @@
 /**
- * * Guards against a request that crashes one target after another while its caller retries it at different boxes,
+ * Guards against a request that crashes one target after another while its caller retries it at different boxes,
  * which also interrupts all other requests at these targets.
  */
 import { CrashingTarget, MemoryStore } from '@stallwing/standins'
@@ -130,10 +130,10 @@
 			const at = performance.now()
 			void box
 				?.sendRequest(`${route}other`, { id: `other-${i}`, body: `body ${i}` })
-				.then((answer) => {
+				.then((response) => {
 					const isLate =
 						at > (this.crashTimes[CRASHES_UNTIL_QUARANTINE - 1] ?? Infinity) + PROPAGATION_MS
-					if (isLate && answer.status !== 200) lateFailures++
+					if (isLate && response.status !== 200) lateFailures++
 				})
 			await sleep(RETRY_DELAY_MS / 3)
 		}
