--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -1,4 +1,4 @@
-/** The router daemon as a library: settings, sockets, timers around the core. */
+/** The router daemon as a library: settings, sockets and timers around the router core. */
 export { RouterDaemon, type DaemonAddresses, type DaemonOptions } from './lib/RouterDaemon.js'
 export {
 	SettingsError,
@@ -10,6 +10,6 @@
 export { hashKey } from './lib/readCall.js'
 export { Metrics } from '@stallwing/telemetry'
 export { LogWriter, type LogLine } from './lib/LogWriter.js'
-/** For measurements of the talk between boxes only. */
+/** Exported only for benchmarks of the traffic between boxes. */
 export { PeerLinks } from './lib/PeerLinks.js'
 export { PeerServer } from './lib/PeerServer.js'
--- a/packages/router/src/lib/AdminServer.ts
+++ b/packages/router/src/lib/AdminServer.ts
@@ -2,13 +2,13 @@
 import type { AddressInfo } from 'node:net'
 import type { LogLine } from './LogWriter.js'
 
-/** What operators may ask a router. */
+/** Handlers of the requests that operators send to a router. */
 export interface AdminHandlers {
 	status(): unknown
 	explain(request: string): readonly LogLine[]
 }
 
-/** Serves status and explanations to operators. */
+/** HTTP server for operators: the status of the router and the log lines about a request. */
 export class AdminServer {
 	private readonly server: Server
 
--- a/packages/router/src/lib/AsyncQueue.ts
+++ b/packages/router/src/lib/AsyncQueue.ts
@@ -1,4 +1,4 @@
-/** Hands values from callbacks to one `for await` loop, in order. */
+/** Passes values from callbacks to a single `for await` loop, in order. */
 export class AsyncQueue<T> implements AsyncIterable<T> {
 	private readonly values: T[] = []
 	private resolveWaiting: (() => void) | undefined
@@ -20,7 +20,7 @@
 		this.wakeConsumer()
 	}
 
-	/** Ends the loop with an error, after the values before it. */
+	/** Makes the loop throw the error after it has received the values pushed before. */
 	fail(error: Error): void {
 		this.failure = error
 		this.end()
--- a/packages/router/src/lib/AttemptRunner.ts
+++ b/packages/router/src/lib/AttemptRunner.ts
@@ -4,7 +4,7 @@
 import type { RunResponse } from './RunResponse.js'
 import { SseReader } from './SseReader.js'
 
-/** Limits of an attempt. */
+/** Size and time limits of one attempt at a target. */
 export interface AttemptLimits {
 	readonly answerBytes: number
 	readonly firstByteMs: number
@@ -32,7 +32,7 @@
 	isCancelled: boolean
 }
 
-/** Sends attempts to targets and reads their answers; says how each ended. */
+/** Sends requests to targets, reads the responses and reports the outcome of each attempt. */
 export class AttemptRunner {
 	private readonly activeAttempts = new Map<RequestId, ActiveAttempt>()
 	private readonly agent = new Agent({
@@ -46,73 +46,73 @@
 		private readonly onEnded: (id: RequestId, attempt: number, outcome: AttemptOutcome) => void,
 	) {}
 
-	start(action: StartAction, call: OutgoingCall, answer: RunResponse): void {
-		const live: ActiveAttempt = {
+	start(action: StartAction, call: OutgoingCall, response: RunResponse): void {
+		const active: ActiveAttempt = {
 			attempt: action.attempt,
 			abortController: new AbortController(),
 			url: action.url,
 			isModelRequest: call.chat !== undefined,
 			isCancelled: false,
 		}
-		this.activeAttempts.set(action.runId, live)
-		void this.execute(action, call, answer, live)
+		this.activeAttempts.set(action.runId, active)
+		void this.execute(action, call, response, active)
 			.catch((error: unknown) => outcomeOfError(error))
-			.then((outcome) => this.finish(action, live, answer, outcome))
+			.then((outcome) => this.finish(action, active, response, outcome))
 	}
 
-	/** Cancels an attempt: the target is told, and says what ran. */
+	/** Cancels an attempt. The outcome has the number of output tokens that the target reports. */
 	cancel(id: RequestId, attempt: number): void {
-		const live = this.activeAttempts.get(id)
-		if (!live || live.attempt !== attempt) return
-		live.isCancelled = true
-		void this.cancelAtTarget(id, live).then((outputTokens) => {
-			live.abortController.abort()
+		const active = this.activeAttempts.get(id)
+		if (!active || active.attempt !== attempt) return
+		active.isCancelled = true
+		void this.cancelAtTarget(id, active).then((outputTokens) => {
+			active.abortController.abort()
 			this.activeAttempts.delete(id)
 			this.onEnded(id, attempt, { kind: 'cancelled', outputTokens })
 		})
 	}
 
 	async close(): Promise<void> {
-		for (const live of this.activeAttempts.values()) live.abortController.abort()
+		for (const active of this.activeAttempts.values()) active.abortController.abort()
 		await this.agent.destroy()
 	}
 
 	private finish(
 		action: StartAction,
-		live: ActiveAttempt,
-		answer: RunResponse,
+		active: ActiveAttempt,
+		response: RunResponse,
 		outcome: AttemptOutcome,
 	): void {
-		if (live.isCancelled) return
-		if (this.activeAttempts.get(action.runId) === live) this.activeAttempts.delete(action.runId)
+		if (active.isCancelled) return
+		if (this.activeAttempts.get(action.runId) === active) this.activeAttempts.delete(action.runId)
 		const isBroken = outcome.kind === 'broken'
-		if (isBroken && live.isModelRequest) void this.cancelAtTarget(action.runId, live)
-		const final = isBroken ? { ...outcome, delivered: answer.isDelivered() } : outcome
-		if (final.kind !== 'whole' && !answer.isDelivered()) answer.reset()
+		if (isBroken && active.isModelRequest) void this.cancelAtTarget(action.runId, active)
+		const final = isBroken ? { ...outcome, delivered: response.isDelivered() } : outcome
+		if (final.kind !== 'whole' && !response.isDelivered()) response.reset()
 		this.onEnded(action.runId, action.attempt, final)
 	}
 
 	private async execute(
 		action: StartAction,
 		call: OutgoingCall,
-		answer: RunResponse,
-		live: ActiveAttempt,
+		response: RunResponse,
+		active: ActiveAttempt,
 	): Promise<AttemptOutcome> {
-		const reply = await this.send(action, call, live)
+		const reply = await this.send(action, call, active)
 		if (REJECTION_STATUSES.has(reply.statusCode) || (action.resume && reply.statusCode >= 400)) {
 			await reply.body.dump()
 			return rejectedOutcome(reply)
 		}
-		const stream = call.chat?.stream === true && reply.statusCode === 200
-		return stream
-			? this.readStream(reply, answer, action)
-			: this.readBuffered(reply, answer, action, call)
+		const isStream = call.chat?.stream === true && reply.statusCode === 200
+		return isStream
+			? this.readStream(reply, response, action)
+			: this.readBuffered(reply, response, action, call)
 	}
 
 	private send(
 		action: StartAction,
 		call: OutgoingCall,
-		live: ActiveAttempt,
+		active: ActiveAttempt,
 	): Promise<Dispatcher.ResponseData> {
 		const path = action.resume ? resumePath(action.runId, call) : call.path
 		const method = action.resume ? 'GET' : call.method
@@ -123,7 +123,7 @@
 		return request(`${action.url}${path}`, {
 			method: method as Dispatcher.HttpMethod,
 			dispatcher: this.agent,
-			signal: live.abortController.signal,
+			signal: active.abortController.signal,
 			headersTimeout: this.limits.firstByteMs + this.limits.idleMs,
 			bodyTimeout: this.limits.idleMs,
 			headers: {
@@ -135,26 +135,26 @@
 		})
 	}
 
-	/** Passes a stream on as it comes; its last events are held. */
+	/** Forwards a stream as it arrives, but withholds its final events. */
 	private async readStream(
 		reply: Dispatcher.ResponseData,
-		answer: RunResponse,
+		response: RunResponse,
 		action: StartAction,
 	): Promise<AttemptOutcome> {
 		const reader = new SseReader()
 		let bytes = 0
-		let begun = false
+		let hasSentHead = false
 		for await (const chunk of reply.body) {
 			bytes += (chunk as Buffer).length
 			if (bytes > this.limits.answerBytes)
 				return brokenOutcome('the answer is too long', reader.contentEventCount)
-			const { ready, withheld: last } = reader.push(chunk as Buffer)
-			if (!begun && ready.length + last.length > 0) {
-				begun = true
-				answer.sendHead({ status: 200, headers: this.responseHeaders(reply, action) })
+			const { ready, withheld } = reader.push(chunk as Buffer)
+			if (!hasSentHead && ready.length + withheld.length > 0) {
+				hasSentHead = true
+				response.sendHead({ status: 200, headers: this.responseHeaders(reply, action) })
 			}
-			for (const event of ready) answer.sendData(event)
-			answer.withhold(last)
+			for (const event of ready) response.sendData(event)
+			response.withhold(withheld)
 		}
 		if (!reader.isDone || !reader.usage)
 			return brokenOutcome('the stream broke off', reader.contentEventCount)
@@ -164,7 +164,7 @@
 
 	private async readBuffered(
 		reply: Dispatcher.ResponseData,
-		answer: RunResponse,
+		response: RunResponse,
 		action: StartAction,
 		call: OutgoingCall,
 	): Promise<AttemptOutcome> {
@@ -178,7 +178,7 @@
 		const usage =
 			call.chat && reply.statusCode === 200 ? readUsage(chunks) : { input: 0, output: 0 }
 		if (!usage) return brokenOutcome('the answer makes no sense', 0)
-		answer.withhold(chunks, {
+		response.withhold(chunks, {
 			status: reply.statusCode,
 			headers: this.responseHeaders(reply, action),
 		})
@@ -201,10 +201,10 @@
 		return headers
 	}
 
-	private async cancelAtTarget(id: RequestId, live: ActiveAttempt): Promise<number> {
-		if (!live.isModelRequest) return 0
+	private async cancelAtTarget(id: RequestId, active: ActiveAttempt): Promise<number> {
+		if (!active.isModelRequest) return 0
 		try {
-			const reply = await request(`${live.url}/v1/runs/${encodeURIComponent(id)}/cancel`, {
+			const reply = await request(`${active.url}/v1/runs/${encodeURIComponent(id)}/cancel`, {
 				method: 'POST',
 				dispatcher: this.agent,
 				signal: AbortSignal.timeout(CANCEL_TIMEOUT_MS),
--- a/packages/router/src/lib/BundleFetcher.ts
+++ b/packages/router/src/lib/BundleFetcher.ts
@@ -9,13 +9,13 @@
 import * as E from 'fp-ts/lib/Either.js'
 import type { PeerLinks } from './PeerLinks.js'
 
-/** What became of fetching a version. */
+/** Result of fetching a bundle. */
 export type FetchResult =
 	| { readonly kind: 'taken'; readonly bundle: Bundle }
 	| { readonly kind: 'refused'; readonly faults: readonly string[] }
 	| { readonly kind: 'unavailable' }
 
-/** Gets accepted bundles from the platform or from another box, and checks them. */
+/** Fetches the accepted bundle from the platform or another box, and checks its signatures. */
 export class BundleFetcher {
 	private readonly store: BundleStore
 	private latest: { version: number; document: BundleDocument } | undefined
@@ -28,12 +28,12 @@
 		this.store = new BundleStore(platform)
 	}
 
-	/** The document of the version held, as JSON; empty for any other version. */
+	/** Document of the latest fetched version as JSON; empty for any other version. */
 	document(version: number): string {
 		return this.latest?.version === version ? JSON.stringify(this.latest.document) : ''
 	}
 
-	/** Fetches a version or a later one. */
+	/** Fetches the accepted bundle from the platform, or `version` from the first peer that has it. */
 	async fetch(version: number, peers: readonly string[]): Promise<FetchResult> {
 		const document = (await this.fetchFromPlatform()) ?? (await this.fetchFromPeers(version, peers))
 		if (!document) return { kind: 'unavailable' }
--- a/packages/router/src/lib/CallerServer.ts
+++ b/packages/router/src/lib/CallerServer.ts
@@ -7,25 +7,25 @@
 import type { OpenCall } from './OpenCall.js'
 import { readCall, type RawCall } from './readCall.js'
 
-/** What the caller side needs of the daemon. */
+/** Callbacks of the daemon that the caller server uses. */
 export interface CallerHandlers {
 	onCall(call: OpenCall): void
-	/** The connection has closed; `answered` where the whole answer went out. */
+	/** The connection has closed; `answered` is true if the complete response was sent. */
 	onClosed(callId: CallId, answered: boolean): void
 	isReady(): boolean
 	metrics(): string
 }
 
-/** Limits on callers. */
+/** Limits of callers' requests. */
 export interface CallerLimits {
 	readonly bodyBytes: number
-	/** Longest wait for the first byte; a request that cannot start by then is refused. */
+	/** Maximum time to the first byte of the response; sets the deadline of the request. */
 	readonly firstByteMs: number
 }
 
 const REQUEST_TIMEOUT_MS = 10_000
 
-/** Serves callers over HTTP, and the probes of the balancer. */
+/** HTTP server for callers' requests, health probes and metrics. */
 export class CallerServer {
 	private readonly server: Server
 	private nextCallNumber = 1
@@ -51,7 +51,7 @@
 		return (this.server.address() as AddressInfo).port
 	}
 
-	/** Requests that have not been answered yet. */
+	/** Number of calls whose response is not complete. */
 	openCallCount(): number {
 		return this.openResponses.size
 	}
@@ -85,9 +85,9 @@
 			return
 		}
 		const raw = toRawCall(callId, request, body, startedAt + this.limits.firstByteMs)
-		const read = readCall(raw)
-		if (E.isLeft(read)) {
-			this.refuse(sink, read.left)
+		const parsed = readCall(raw)
+		if (E.isLeft(parsed)) {
+			this.refuse(sink, parsed.left)
 			return
 		}
 		this.openResponses.add(response)
@@ -95,8 +95,14 @@
 			this.openResponses.delete(response)
 			this.handlers.onClosed(callId, response.writableFinished)
 		})
-		const { request: core, outgoing } = read.right
-		this.handlers.onCall({ request: core, outgoing, sink, callerPath: raw.path, startedAt })
+		const { request: callerRequest, outgoing } = parsed.right
+		this.handlers.onCall({
+			request: callerRequest,
+			outgoing,
+			sink,
+			callerPath: raw.path,
+			startedAt,
+		})
 	}
 
 	private refuse(sink: HttpSink, refusal: Refusal): void {
@@ -104,15 +110,15 @@
 		sink.fail(refusal, undefined)
 	}
 
-	/** The whole body; undefined where it is too large. */
+	/** Reads the complete body; undefined if it is too large. */
 	private async readBody(request: IncomingMessage): Promise<Buffer | undefined> {
-		const parts: Buffer[] = []
+		const chunks: Buffer[] = []
 		let bytes = 0
-		for await (const part of request) {
-			bytes += (part as Buffer).length
-			if (bytes <= this.limits.bodyBytes) parts.push(part as Buffer)
+		for await (const chunk of request) {
+			bytes += (chunk as Buffer).length
+			if (bytes <= this.limits.bodyBytes) chunks.push(chunk as Buffer)
 		}
-		return bytes <= this.limits.bodyBytes ? Buffer.concat(parts) : undefined
+		return bytes <= this.limits.bodyBytes ? Buffer.concat(chunks) : undefined
 	}
 }
 
--- a/packages/router/src/lib/HttpSink.ts
+++ b/packages/router/src/lib/HttpSink.ts
@@ -2,10 +2,10 @@
 import type { Refusal, RequestId } from '@stallwing/core'
 import { refusalResponse, type ResponseHead, type ResponseSink } from './ResponseSink.js'
 
-/** Bytes that may wait for a caller that reads slowly; beyond, its connection is cut. */
+/** Response bytes buffered for a slow caller; above this limit its connection is closed. */
 const MAX_BUFFERED_BYTES = 16_777_216
 
-/** Gives an answer to a caller's HTTP connection. */
+/** Writes a response to a caller's HTTP connection. */
 export class HttpSink implements ResponseSink {
 	constructor(
 		private readonly response: ServerResponse,
@@ -33,7 +33,7 @@
 
 	fail(refusal: Refusal, id: RequestId | undefined): void {
 		if (this.response.headersSent) {
-			// A broken answer must not look whole: the connection is reset.
+			// Resets the connection, so that the caller detects the partial response.
 			this.response.destroy()
 		} else if (!this.response.destroyed) {
 			const { head, body } = refusalResponse(refusal, id)
--- a/packages/router/src/lib/LoadPoller.ts
+++ b/packages/router/src/lib/LoadPoller.ts
@@ -3,21 +3,21 @@
 
 const LOAD_TIMEOUT_MS = 500
 
-/** Asks targets for their load. Only the keeper of a zone does; it shares what it hears. */
+/** Polls the load of targets. Only the leader of a zone polls; it shares the reports. */
 export class LoadPoller {
 	private readonly agent = new Agent({ connections: 1 })
 	private isPolling = false
 
 	constructor(private readonly onReports: (reports: LoadReport[]) => void) {}
 
-	/** Asks every target once; a round that is still going on is not doubled. */
+	/** Polls every target once; does nothing while an earlier poll is in progress. */
 	async poll(targets: readonly TargetRecord[]): Promise<void> {
 		if (this.isPolling) return
 		this.isPolling = true
 		const reports = await Promise.all(targets.map((target) => this.fetchLoad(target)))
 		this.isPolling = false
-		const found = reports.filter((report) => report !== undefined)
-		if (found.length > 0) this.onReports(found)
+		const received = reports.filter((report) => report !== undefined)
+		if (received.length > 0) this.onReports(received)
 	}
 
 	async close(): Promise<void> {
--- a/packages/router/src/lib/LogWriter.ts
+++ b/packages/router/src/lib/LogWriter.ts
@@ -1,16 +1,16 @@
 import { LOG_EVENTS, type LogEvent } from '@stallwing/core'
 
-/** A log line as kept for explanations. @public */
+/** A log line as it is kept for `stallwing explain`. @public */
 export interface LogLine extends Readonly<Record<string, unknown>> {
 	readonly event: number
 	readonly name: string
 	readonly time: string
 }
 
-/** Lines kept in memory for `stallwing explain`. */
+/** Log lines kept in memory for `stallwing explain`. */
 const MAX_RECENT_LINES = 5_000
 
-/** Writes one JSON line per numbered event, and keeps the last ones for explanations. @public */
+/** Writes one JSON line per numbered event, and keeps the latest for `stallwing explain`. @public */
 export class LogWriter {
 	private readonly recentLines: LogLine[] = []
 	private nextIndex = 0
@@ -35,7 +35,7 @@
 		this.write(`${JSON.stringify(line)}\n`)
 	}
 
-	/** Lines about a request, oldest first. */
+	/** Kept log lines about a request, oldest first. */
 	linesOfRequest(request: string): LogLine[] {
 		const ordered = [
 			...this.recentLines.slice(this.nextIndex),
--- a/packages/router/src/lib/OutgoingCall.ts
+++ b/packages/router/src/lib/OutgoingCall.ts
@@ -1,10 +1,10 @@
-/** The first caller's request, as it goes to a target. */
+/** The first caller's request of a run, in the form in which it is sent to a target. */
 export interface OutgoingCall {
 	readonly method: string
-	/** Path at the target. */
+	/** Path on the target. */
 	readonly path: string
 	readonly body: Buffer
 	readonly contentType: string
-	/** Set for a model request. */
+	/** Body of a chat request; undefined for a service request. */
 	readonly chat?: { readonly stream: boolean; readonly json: Record<string, unknown> }
 }
--- a/packages/router/src/lib/PeerLinks.ts
+++ b/packages/router/src/lib/PeerLinks.ts
@@ -9,12 +9,12 @@
 
 const debug = createDebug('stallwing:peer')
 
-/** Messages that may wait for a box that does not answer; older ones are dropped. */
+/** Frames queued for one box; while its queue is full, further messages to it are dropped. */
 const MAX_QUEUED_FRAMES = 2_000
 const IDLE_TIMEOUT_MS = 30_000
-/** Frames a second of a box whose settings state none; `docs/CAPACITY.md` has the cost of one. */
+/** Default frame rate limit; `docs/CAPACITY.md` has the processor time of a frame. */
 const DEFAULT_FRAMES_PER_SECOND = 400
-/** Unused frames are kept for so long. */
+/** Capacity of the token bucket, in seconds of the frame rate. */
 const BURST_SECONDS = 0.25
 
 interface Link {
@@ -26,9 +26,9 @@
 }
 
 /**
- * One long-lived stream to each box that this one talks to. Messages of one turn of the event loop
- * go out in one frame. A broken stream is opened again with the next message; nothing is resent
- * here, since every message of the core may be lost.
+ * Sends messages to other boxes over one long-lived stream each. Messages sent in one turn of the
+ * event loop share a frame. The next message reopens a broken stream. Nothing is resent, because the
+ * core tolerates the loss of any message.
  */
 export class PeerLinks {
 	private readonly links = new Map<string, Link>()
@@ -41,7 +41,7 @@
 		private readonly box: BoxName,
 		private readonly tls: PeerTls | undefined,
 		private readonly metrics: Metrics,
-		/** Frames a second that may go out at once; above, messages are gathered. */
+		/** Rate limit in frames per second over all boxes; above it, messages wait for the next frame. */
 		private readonly framesPerSecond = DEFAULT_FRAMES_PER_SECOND,
 	) {
 		this.frameTokens = framesPerSecond * BURST_SECONDS
@@ -61,16 +61,16 @@
 		setImmediate(() => this.flush())
 	}
 
-	/** The client of a box, for relaying. */
+	/** RPC client of the box at `address`. */
 	client(address: string): Client<typeof PeerService> {
 		return this.getLink(address).client
 	}
 
-	/** Closes streams that were not used for a while. */
+	/** Closes streams that have sent no message for the idle timeout. */
 	closeIdle(): void {
-		const oldest = Date.now() - IDLE_TIMEOUT_MS
+		const cutoff = Date.now() - IDLE_TIMEOUT_MS
 		for (const [address, link] of this.links) {
-			if (link.lastUsedAt >= oldest) continue
+			if (link.lastUsedAt >= cutoff) continue
 			link.queue?.end()
 			this.links.delete(address)
 		}
@@ -112,12 +112,12 @@
 
 	private refill(): void {
 		const now = performance.now()
-		const fresh = ((now - this.refilledAt) * this.framesPerSecond) / 1_000
+		const added = ((now - this.refilledAt) * this.framesPerSecond) / 1_000
 		this.refilledAt = now
-		this.frameTokens = Math.min(this.framesPerSecond * BURST_SECONDS, this.frameTokens + fresh)
+		this.frameTokens = Math.min(this.framesPerSecond * BURST_SECONDS, this.frameTokens + added)
 	}
 
-	/** A frame costs far more processor time than a message in it, so frames are rationed. */
+	/** Waits for the next frame token: a frame costs far more processor time than a message in it. */
 	private scheduleFlush(): void {
 		this.flushTimer = setTimeout(() => this.flush(), 1_000 / this.framesPerSecond)
 		this.isFlushScheduled = true
--- a/packages/router/src/lib/PeerServer.ts
+++ b/packages/router/src/lib/PeerServer.ts
@@ -26,14 +26,14 @@
 
 const debug = createDebug('stallwing:peer')
 
-/** What a box does for other boxes. */
+/** Handlers of the requests that other boxes send. */
 export interface PeerHandlers {
 	onMessage(from: BoxName, message: PeerMessage): void
 	relay(request: RelayRequest, signal: AbortSignal): AsyncIterable<RelayChunk>
 	bundleDocument(version: number): string
 }
 
-/** Listens for other boxes: HTTP/2, with mTLS where keys are given. */
+/** HTTP/2 server for other boxes; uses mTLS if keys are given. */
 export class PeerServer {
 	private readonly server: Http2Server | Http2SecureServer
 	private readonly sessions = new Set<ServerHttp2Session>()
@@ -53,11 +53,11 @@
 		})
 		this.server.on('tlsClientError', (error: Error) => {
 			this.metrics.count('stallwing_peer_refused_total')
-			debug('a connection was refused: %s', error.message)
+			debug('TLS handshake with a peer failed: %s', error.message)
 		})
 	}
 
-	/** Starts to listen; returns the port. */
+	/** Starts listening and returns the port. */
 	async listen(host: string, port: number): Promise<number> {
 		await new Promise<void>((resolve, reject) => {
 			this.server.once('error', reject)
@@ -85,7 +85,7 @@
 
 	private async *receiveFrames(frames: AsyncIterable<Frame>): AsyncGenerator<LinkReply> {
 		for await (const frame of frames) this.receiveFrame(frame)
-		// Replies go over the other box's own stream; this one only ends.
+		// A box sends messages only over streams that it opened, so this response stream stays empty.
 		yield* []
 	}
 
--- a/packages/router/src/lib/RelaySink.ts
+++ b/packages/router/src/lib/RelaySink.ts
@@ -5,7 +5,7 @@
 import { refusalResponse, type ResponseHead, type ResponseSink } from './ResponseSink.js'
 import { AsyncQueue } from './AsyncQueue.js'
 
-/** Gives an answer to the box that relayed the request. */
+/** Streams a response to the box that relayed the request. */
 export class RelaySink implements ResponseSink {
 	readonly chunks = new AsyncQueue<RelayChunk>()
 	private hasSentHead = false
--- a/packages/router/src/lib/ResponseSink.ts
+++ b/packages/router/src/lib/ResponseSink.ts
@@ -1,27 +1,27 @@
 import { REFUSAL_STATUS, type Refusal, type RequestId } from '@stallwing/core'
 
-/** Status and headers of an answer. @public */
+/** Status and headers of a response. @public */
 export interface ResponseHead {
 	readonly status: number
 	readonly headers: Readonly<Record<string, string>>
 }
 
-/** Where the answer of a request goes: a caller's connection or a relaying box. */
+/** Destination of a response: a caller's connection or the box that relayed the request. */
 export interface ResponseSink {
 	writeHead(head: ResponseHead): void
 	write(chunk: Uint8Array): void
-	/** The answer is whole. */
+	/** Ends a complete response. */
 	end(): void
-	/** The answer will not become whole. After bytes have left the stream is broken off. */
+	/** Sends a refusal, or aborts the stream if part of the response has been sent. */
 	fail(refusal: Refusal, id: RequestId | undefined): void
 }
 
-/** Milliseconds as whole seconds for a `retry-after` header, never 0. */
+/** Converts milliseconds to whole seconds for a `retry-after` header; at least 1. */
 function retryAfterSeconds(ms: number): string {
 	return String(Math.max(1, Math.ceil(ms / 1000)))
 }
 
-/** Head and body of a refusal. */
+/** Builds the head and body of the response that refuses a request. */
 export function refusalResponse(
 	refusal: Refusal,
 	id: RequestId | undefined,
--- a/packages/router/src/lib/RouterDaemon.ts
+++ b/packages/router/src/lib/RouterDaemon.ts
@@ -38,27 +38,27 @@
 
 const TICK_INTERVAL_MS = 50
 const POLL_INTERVAL_MS = 1_000
-/** Time for the last messages of a planned stop to leave. */
+/** Delay before a planned stop closes the sockets, so that the last messages are sent. */
 const EXIT_FLUSH_MS = 100
 
-/** Addresses that a daemon listens on. @public */
+/** Addresses on which a daemon listens. @public */
 export interface DaemonAddresses {
 	readonly callers: string
 	readonly peers: string
 	readonly admin: string
 }
 
-/** What a daemon needs besides its settings. @public */
+/** Callbacks of a daemon. @public */
 export interface DaemonOptions {
-	/** Takes each log line, line end included. */
+	/** Writes a log line, which ends with a line feed. */
 	readonly writeLog: (line: string) => void
-	/** Called once after a planned stop or a stop by time-out. */
+	/** Called once after the daemon has closed; `clean` is false if the planned stop timed out. */
 	readonly onExit: (clean: boolean) => void
 }
 
 /**
- * A router process: turns sockets and timers into events for the core and carries out its actions.
- * Decides nothing itself.
+ * A router process. Passes socket and timer events to the router core, which makes all decisions, and
+ * executes the actions that the core returns.
  * @public
  */
 export class RouterDaemon {
@@ -128,7 +128,7 @@
 		})
 	}
 
-	/** Opens the sockets and begins. */
+	/** Opens the sockets, starts the core and the timers, and returns the addresses. */
 	async start(): Promise<DaemonAddresses> {
 		const { listen, peerAddress } = this.settings
 		const peers = await this.peerServer.listen(listen.peers.host, listen.peers.port)
@@ -146,14 +146,14 @@
 		}
 	}
 
-	/** Begins a planned stop; `onExit` is called when it is done. */
+	/** Starts a planned stop, which calls `onExit` when it ends. */
 	stop(): void {
 		this.dispatch({ kind: 'stop' })
 		const timer = setTimeout(() => void this.close(false), this.settings.limits.stopMs)
 		this.timers.push(timer)
 	}
 
-	/** Closes everything at once. */
+	/** Closes all sockets immediately and calls `onExit`. */
 	async close(clean: boolean): Promise<void> {
 		if (this.isClosed) return
 		this.isClosed = true
@@ -168,30 +168,30 @@
 		this.options.onExit(clean)
 	}
 
-	/** State for operators. */
+	/** Status document for operators. */
 	status(): Record<string, unknown> {
-		const board = this.core?.blackboard
+		const blackboard = this.core?.blackboard
 		const { box, zone } = this.settings
 		const incarnation = this.incarnation
-		const ledger = board?.slices.ledger
+		const ledger = blackboard?.slices.ledger
 		return {
 			box,
 			zone,
 			incarnation,
 			ready: this.core?.isReady() ?? false,
-			keeper: board?.roles.isLeader ?? false,
-			view: board?.members.view.number ?? 0,
-			members: board?.members.view.members.map((member) => member.box) ?? [],
-			bundleVersion: board?.config.index?.bundle.version ?? 0,
-			platformUp: board?.members.isPlatformUp ?? false,
-			requests: board?.requests.runs.size ?? 0,
+			keeper: blackboard?.roles.isLeader ?? false,
+			view: blackboard?.members.view.number ?? 0,
+			members: blackboard?.members.view.members.map((member) => member.box) ?? [],
+			bundleVersion: blackboard?.config.index?.bundle.version ?? 0,
+			platformUp: blackboard?.members.isPlatformUp ?? false,
+			requests: blackboard?.requests.runs.size ?? 0,
 			openCalls: this.callerServer.openCallCount(),
 			budgets: (ledger?.budgets() ?? []).map((budget) => ({
 				budget,
 				...ledger?.counters(budget),
 				reserved: ledger?.reserved(budget) ?? 0,
 			})),
-			targets: [...(board?.targets.states.values() ?? [])].map((state) => ({
+			targets: [...(blackboard?.targets.states.values() ?? [])].map((state) => ({
 				target: state.record.name,
 				inFlight: state.inFlight,
 				reported: state.reportedLoad,
@@ -201,23 +201,23 @@
 		}
 	}
 
-	/** Gives the core an event and carries out what it asks. */
+	/** Passes an event to the core and executes the resulting actions. */
 	private dispatch(event: CoreEvent): void {
 		if (this.isClosed || !this.core) return
 		for (const action of this.core.handle(event, Date.now())) this.perform(action)
 	}
 
-	private startCore(confession?: FinalCountersMessage, after?: Incarnation): void {
-		const incarnation = newIncarnation(Date.now(), after)
+	private startCore(finalCounters?: FinalCountersMessage, previous?: Incarnation): void {
+		const incarnation = newIncarnation(Date.now(), previous)
 		this.incarnation = incarnation
-		const self: BoxConfig = {
+		const config: BoxConfig = {
 			box: brandId<BoxName>(this.settings.box),
 			zone: brandId<ZoneName>(this.settings.zone),
 			incarnation: brandId<Incarnation>(incarnation),
 			address: this.peerAddress,
 			timing: DEFAULT_TIMING,
 		}
-		this.core = new RouterCore(self, Math.random, { finalCounters: confession })
+		this.core = new RouterCore(config, Math.random, { finalCounters })
 	}
 
 	private perform(action: CoreAction): void {
@@ -290,7 +290,7 @@
 		this.dispatch({ kind: 'request', request: call.request })
 	}
 
-	/** A caller's connection has closed, with or without its answer. */
+	/** Handles the end of a call; `answered` is true if its complete response was sent. */
 	private closeCall(callId: CallId, answered: boolean): void {
 		const call = this.openCalls.get(callId)
 		const id = this.runOfCall.get(callId)
@@ -305,38 +305,38 @@
 	private attach(callId: CallId, id: RequestId): void {
 		const call = this.openCalls.get(callId)
 		if (!call) return
-		let answer = this.responses.get(id)
-		if (!answer) {
-			answer = new RunResponse(id, call.outgoing)
-			this.responses.set(id, answer)
+		let response = this.responses.get(id)
+		if (!response) {
+			response = new RunResponse(id, call.outgoing)
+			this.responses.set(id, response)
 		}
 		this.runOfCall.set(callId, id)
-		answer.attach(call.sink)
+		response.attach(call.sink)
 	}
 
 	private startAttempt(action: Extract<CoreAction, { kind: 'start-attempt' }>): void {
-		const answer = this.responses.get(action.runId)
-		if (answer) this.attemptRunner.start(action, answer.outgoing, answer)
+		const response = this.responses.get(action.runId)
+		if (response) this.attemptRunner.start(action, response.outgoing, response)
 	}
 
 	private async relay(action: Extract<CoreAction, { kind: 'relay' }>): Promise<void> {
 		const call = this.openCalls.get(action.callId)
 		if (!call) return
-		const abort = new AbortController()
-		this.relayAborts.set(action.callId, abort)
+		const abortController = new AbortController()
+		this.relayAborts.set(action.callId, abortController)
 		const client = this.peerLinks.client(action.address)
-		const end = await relayCall(client, action, call, abort.signal)
+		const outcome = await relayCall(client, action, call, abortController.signal)
 		this.relayAborts.delete(action.callId)
-		if (end.kind === 'answered') this.openCalls.delete(action.callId)
+		if (outcome.kind === 'answered') this.openCalls.delete(action.callId)
 		else
 			this.dispatch({
 				kind: 'relay-failed',
 				callId: action.callId,
-				notRun: end.kind === 'not-sent',
+				notRun: outcome.kind === 'not-sent',
 			})
 	}
 
-	/** Serves a call that another box passed on. */
+	/** Serves a call that another box relayed. */
 	private async *serveRelayed(
 		request: RelayRequest,
 		signal: AbortSignal,
@@ -344,7 +344,7 @@
 		const sink = new RelaySink()
 		const callId = brandId<CallId>(`relayed-${this.nextRelayedNumber++}`)
 		const { account, key, method, path, contentType, priority, deadline, hops } = request
-		const read = readCall({
+		const parsed = readCall({
 			callId,
 			account,
 			idempotencyKey: key,
@@ -359,10 +359,16 @@
 			hops,
 		})
 		signal.addEventListener('abort', () => this.closeCall(callId, false))
-		if (E.isLeft(read)) sink.fail(read.left, undefined)
+		if (E.isLeft(parsed)) sink.fail(parsed.left, undefined)
 		else {
-			const { request: core, outgoing } = read.right
-			this.openCall({ request: core, outgoing, sink, callerPath: path, startedAt: Date.now() })
+			const { request: callerRequest, outgoing } = parsed.right
+			this.openCall({
+				request: callerRequest,
+				outgoing,
+				sink,
+				callerPath: path,
+				startedAt: Date.now(),
+			})
 		}
 		yield* sink.chunks
 		this.closeCall(callId, true)
@@ -383,11 +389,11 @@
 		void this.pollLeavingTargets(index)
 	}
 
-	/** Tells the core which targets the platform's list calls leaving. */
+	/** Reports the targets that the platform lists as leaving to the core. */
 	private async pollLeavingTargets(index: BundleIndex): Promise<void> {
-		const names = await this.platform.leavingBoxNames()
-		if (!names) return
-		const targets = names.map((name) => brandId<TargetName>(name))
+		const leavingNames = await this.platform.leavingBoxNames()
+		if (!leavingNames) return
+		const targets = leavingNames.map((name) => brandId<TargetName>(name))
 		const known = targets.filter((name) => index.target(name) !== undefined)
 		this.dispatch({ kind: 'leaving-targets', targets: known })
 	}
--- a/packages/router/src/lib/RunResponse.ts
+++ b/packages/router/src/lib/RunResponse.ts
@@ -3,8 +3,8 @@
 import type { OutgoingCall } from './OutgoingCall.js'
 
 /**
- * The answer of one run: bytes that came from the target, those held until the bill is safe, and
- * the callers that get them. A caller that joins late gets it from the first byte.
+ * Response of one run: the bytes sent so far, the bytes withheld until the charge is recorded, and the
+ * callers that receive them. A caller that attaches late receives the response from its first byte.
  */
 export class RunResponse {
 	private sentHead: ResponseHead | undefined
@@ -16,11 +16,11 @@
 
 	constructor(
 		readonly id: RequestId,
-		/** The request as it goes to a target; kept while the run may be tried again. */
+		/** Request in the form in which it is sent to a target; each attempt of the run uses it. */
 		readonly outgoing: OutgoingCall,
 	) {}
 
-	/** True where some caller has had bytes. */
+	/** True if a caller that is still attached has received part of the response. */
 	isDelivered(): boolean {
 		return this.sentHead !== undefined && this.sinks.size > 0
 	}
@@ -36,7 +36,7 @@
 		this.sinks.delete(sink)
 	}
 
-	/** Forgets what an attempt brought that was given up before any caller had bytes. */
+	/** Discards the bytes of a failed attempt that no attached caller has received. */
 	reset(): void {
 		this.sentHead = undefined
 		this.withheldHead = undefined
@@ -54,13 +54,13 @@
 		for (const sink of this.sinks) sink.write(chunk)
 	}
 
-	/** Keeps the head and last bytes back until {@link releaseWithheld}. */
+	/** Withholds chunks, and the head if given, until {@link releaseWithheld}. */
 	withhold(chunks: readonly Uint8Array[], head?: ResponseHead): void {
 		this.withheldChunks.push(...chunks)
 		if (head) this.withheldHead = head
 	}
 
-	/** The bill is safe: let the rest out. */
+	/** Sends the withheld bytes and ends the response; called when the charge is recorded. */
 	releaseWithheld(): void {
 		if (this.withheldHead) this.sendHead(this.withheldHead)
 		for (const chunk of this.withheldChunks) this.sendData(chunk)
--- a/packages/router/src/lib/SseReader.ts
+++ b/packages/router/src/lib/SseReader.ts
@@ -1,8 +1,8 @@
-/** What a stream of server-sent events said so far. */
+/** Complete server-sent events of a chunk. */
 export interface StreamProgress {
-	/** Events that may go out at once. */
+	/** Events that can be forwarded immediately. */
 	readonly ready: readonly Buffer[]
-	/** Events from the one that ends the answer on: held until the bill is safe. */
+	/** The event that ends the response and all later ones; withheld until the charge is recorded. */
 	readonly withheld: readonly Buffer[]
 }
 
@@ -13,13 +13,13 @@
 
 const DONE_MARKER = '[DONE]'
 
-/** Splits a chat stream into events, counts its tokens and notices its end. */
+/** Splits a chat stream into events, reads its token usage and detects its end. */
 export class SseReader {
-	/** Tokens that the engine says were used; known once the last events came. */
+	/** Token usage as the target reports it at the end of the stream. */
 	usage: { readonly input: number; readonly output: number } | undefined
-	/** True once the final marker came. */
+	/** True after the `[DONE]` marker. */
 	isDone = false
-	/** Content events so far: the tokens that certainly ran. */
+	/** Events without the `[DONE]` marker; counted as output tokens if the stream breaks. */
 	contentEventCount = 0
 	private unparsed = Buffer.alloc(0)
 	private hasReachedEnd = false
@@ -27,16 +27,16 @@
 	push(chunk: Buffer): StreamProgress {
 		this.unparsed = Buffer.concat([this.unparsed, chunk])
 		const ready: Buffer[] = []
-		const last: Buffer[] = []
+		const withheld: Buffer[] = []
 		for (;;) {
 			const end = this.unparsed.indexOf('\n\n')
 			if (end < 0) break
 			const event = this.unparsed.subarray(0, end + 2)
 			this.unparsed = this.unparsed.subarray(end + 2)
 			this.readEvent(event.toString('utf8'))
-			;(this.hasReachedEnd ? last : ready).push(Buffer.from(event))
+			;(this.hasReachedEnd ? withheld : ready).push(Buffer.from(event))
 		}
-		return { ready, withheld: last }
+		return { ready, withheld }
 	}
 
 	private readEvent(event: string): void {
--- a/packages/router/src/lib/chat.ts
+++ b/packages/router/src/lib/chat.ts
@@ -13,15 +13,15 @@
 	max_tokens: z.number().int().min(1).max(1_000_000).optional(),
 })
 
-/** A chat-completions body that has been checked. */
+/** A validated chat-completions body. */
 export type ChatRequest = z.infer<typeof chatSchema>
 
-/** Lowest number of bytes that a token stands for in the estimate; no real prompt goes below. */
+/** Fewest bytes per token in a real prompt, so that the token estimate is an upper bound. */
 const MIN_BYTES_PER_TOKEN = 3
 const OVERHEAD_TOKENS_PER_MESSAGE = 8
 const HASHED_PREFIX_CHARS = 256
 
-/** Reads a chat-completions body. The left side says what is wrong. */
+/** Parses and validates a chat-completions body. The left side is the error message. */
 export function parseChat(body: Buffer): E.Either<string, ChatRequest> {
 	let json: unknown
 	try {
@@ -35,7 +35,7 @@
 	return E.left(`${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'wrong form'}`)
 }
 
-/** The work of a chat request, with an upper estimate of its input tokens. */
+/** Derives the work of a chat request, with an upper bound of its input tokens. */
 export function chatWork(chat: ChatRequest): Extract<Work, { kind: 'model' }> {
 	let tokens = 0
 	for (const { content } of chat.messages)
--- a/packages/router/src/lib/peerTransport.ts
+++ b/packages/router/src/lib/peerTransport.ts
@@ -4,7 +4,7 @@
 import { PeerService } from '@stallwing/wire'
 import type { RouterSettings } from './settings.js'
 
-/** Keys of a box for mTLS, read from its settings. */
+/** Key and certificates of a box for mTLS, PEM. */
 export interface PeerTls {
 	readonly key: Buffer
 	readonly cert: Buffer
@@ -14,7 +14,7 @@
 const PING_INTERVAL_MS = 5_000
 const PING_TIMEOUT_MS = 2_000
 
-/** Reads the key files of the settings; undefined where boxes talk in the clear. */
+/** Reads the key files that the settings name; undefined if mTLS is not configured. */
 export function readPeerTls(settings: RouterSettings): PeerTls | undefined {
 	const { tls } = settings
 	if (!tls) return undefined
@@ -25,7 +25,7 @@
 	}
 }
 
-/** Opens a client to another box over HTTP/2. */
+/** Creates an RPC client of another box over HTTP/2. */
 export function createPeerClient(
 	address: string,
 	tls: PeerTls | undefined,
--- a/packages/router/src/lib/readCall.ts
+++ b/packages/router/src/lib/readCall.ts
@@ -15,7 +15,7 @@
 import type { OutgoingCall } from './OutgoingCall.js'
 import { chatWork, parseChat } from './chat.js'
 
-/** A request as it came over HTTP or from a relaying box. */
+/** A request as received over HTTP or from a relaying box. */
 export interface RawCall {
 	readonly callId: CallId
 	readonly method: string
@@ -33,11 +33,11 @@
 }
 
 const CHAT_PATH = '/v1/chat/completions'
-/** 128 bits of the hash of a body: enough to tell two bodies of one key apart. */
+/** Length of a body hash in base64url: 22 characters hold about 128 bits. */
 const BODY_HASH_CHARS = 22
 const SERVICE_PATH_PATTERN = /^\/services\/([a-z0-9][a-z0-9-]{0,39})(\/.*)?$/
 
-/** Turns a raw call into a request for the core and the call that goes to a target. */
+/** Validates a raw call and converts it to the request for the core and the call for a target. */
 export function readCall(
 	raw: RawCall,
 ): E.Either<Refusal, { request: CallerRequest; outgoing: OutgoingCall }> {
@@ -46,9 +46,9 @@
 		return malformedRequest('stallwing-priority: expected urgent or ordinary')
 	if (raw.repeat !== undefined && raw.repeat !== 'never' && raw.repeat !== 'allowed')
 		return malformedRequest('stallwing-repeat: expected never or allowed')
-	const target = readWork(raw)
-	if (E.isLeft(target)) return target
-	const { work, outgoing } = target.right
+	const parsed = readWork(raw)
+	if (E.isLeft(parsed)) return parsed
+	const { work, outgoing } = parsed.right
 	return E.right({ request: toCallerRequest(raw, work, priority), outgoing })
 }
 
--- a/packages/router/src/lib/relayCall.ts
+++ b/packages/router/src/lib/relayCall.ts
@@ -5,41 +5,41 @@
 
 type RelayAction = Extract<CoreAction, { kind: 'relay' }>
 
-/** How a relayed call ended at this side. */
+/** Outcome of a relayed call at the relaying box. */
 export type RelayOutcome =
-	/** The answer, or the owner's refusal, went to the caller. */
+	/** The complete response of the owner, or its refusal, was sent to the caller. */
 	| { readonly kind: 'answered' }
-	/** Nothing of the request left this box. */
+	/** No byte of the request was sent. */
 	| { readonly kind: 'not-sent' }
-	/** The owner broke off before it answered. */
+	/** The call failed before the owner sent a response head. */
 	| { readonly kind: 'no-answer' }
-	/** The answer broke off in the middle. */
+	/** The response ended before it was complete. */
 	| { readonly kind: 'broken' }
 
-/** Codes that a client gives before it has a connection. */
+/** Error codes of a client that could not connect. */
 const CONNECT_ERROR_PATTERN = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH|ENOTFOUND/
 
-/** Passes a call on to the box that owns its key, and the answer back as it comes. */
+/** Relays a call to the owner of its idempotency key and streams the response to the caller. */
 export async function relayCall(
 	client: Client<typeof PeerService>,
 	action: RelayAction,
 	call: OpenCall,
 	signal: AbortSignal,
 ): Promise<RelayOutcome> {
-	let begun = false
-	let whole = false
+	let hasSentHead = false
+	let isComplete = false
 	try {
 		for await (const { body } of client.relay(relayRequest(action, call), { signal })) {
 			if (body.case === 'head') {
-				begun = true
+				hasSentHead = true
 				call.sink.writeHead(body.value)
 			} else if (body.case === 'data') call.sink.write(body.value)
-			else if (body.case === 'end') whole = true
+			else if (body.case === 'end') isComplete = true
 		}
 	} catch (error) {
-		return begun ? { kind: 'broken' } : outcomeOfError(error)
+		return hasSentHead ? { kind: 'broken' } : outcomeOfError(error)
 	}
-	if (!whole) return begun ? { kind: 'broken' } : { kind: 'no-answer' }
+	if (!isComplete) return hasSentHead ? { kind: 'broken' } : { kind: 'no-answer' }
 	call.sink.end()
 	return { kind: 'answered' }
 }
@@ -63,7 +63,7 @@
 
 function outcomeOfError(error: unknown): RelayOutcome {
 	const reason = ConnectError.from(error)
-	const connected = !CONNECT_ERROR_PATTERN.test(`${reason.message} ${String(reason.cause)}`)
-	const unavailable = reason.code === Code.Unavailable
-	return unavailable && !connected ? { kind: 'not-sent' } : { kind: 'no-answer' }
+	const hadConnection = !CONNECT_ERROR_PATTERN.test(`${reason.message} ${String(reason.cause)}`)
+	const isUnavailable = reason.code === Code.Unavailable
+	return isUnavailable && !hadConnection ? { kind: 'not-sent' } : { kind: 'no-answer' }
 }
--- a/packages/router/src/lib/settings.ts
+++ b/packages/router/src/lib/settings.ts
@@ -12,7 +12,7 @@
 	.string()
 	.regex(/^[a-z0-9][a-z0-9-]{0,39}$/, 'lower-case letters, digits, dashes')
 
-/** Schema of a router's settings file. The settings reference is made from it. @public */
+/** Schema of a router's settings file. The settings reference is generated from it. @public */
 export const settingsSchema = z.strictObject({
 	box: nameSchema.describe('Name of this box; the same after each restart'),
 	zone: nameSchema.describe('Availability zone of this box'),
@@ -71,7 +71,7 @@
 /** Settings of a router. @public */
 export type RouterSettings = z.infer<typeof settingsSchema>
 
-/** Checks settings text; an error names file, line, key and what was expected. @public */
+/** Parses and validates settings. Each fault has the file, line, key and expected value. @public */
 export function parseSettings(
 	file: string,
 	text: string,
@@ -87,14 +87,14 @@
 	)
 }
 
-/** Reads and checks a settings file. @throws SettingsError listing every fault. @public */
+/** Reads and validates a settings file. @throws SettingsError that lists every fault. @public */
 export function loadSettings(file: string): RouterSettings {
 	const result = parseSettings(file, readFileSync(file, 'utf8'))
 	if (E.isLeft(result)) throw new SettingsError(result.left)
 	return result.right
 }
 
-/** Every fault of a settings file. @public */
+/** Error that lists every fault of a settings file. @public */
 export class SettingsError extends Error {
 	readonly kind = 'settings-error'
 	constructor(readonly faults: readonly FileFault[]) {
