--- a/apps/stallwing/src/lib/CommandError.ts
+++ b/apps/stallwing/src/lib/CommandError.ts
@@ -1,19 +1,19 @@
-/** Exit codes of the command line; listed in `docs/operators/cli.md`. */
+/** Exit codes of the command line, documented in `docs/operators/cli.md`. */
 export const EXIT_CODES = {
 	ok: 0,
-	/** Something failed that is not listed below. */
+	/** A failure that no other code covers. */
 	failure: 1,
-	/** The command line itself is wrong. */
+	/** Wrong arguments or options. */
 	usage: 2,
-	/** A file is missing or not valid; every fault is listed. */
+	/** A file is missing or invalid; the message lists every fault. */
 	invalid: 3,
-	/** Another operator was faster, or a precondition does not hold. */
+	/** Another operator made a conflicting change, or a precondition does not hold. */
 	conflict: 4,
 	/** The platform or a router did not answer. */
 	unavailable: 5,
 } as const
 
-/** Reason and exit code of a command that failed. */
+/** Error message and exit code of a failed command. */
 export class CommandError extends Error {
 	readonly kind = 'command-error'
 	constructor(
--- a/apps/stallwing/src/lib/OperatorConfig.ts
+++ b/apps/stallwing/src/lib/OperatorConfig.ts
@@ -12,20 +12,20 @@
 	routers: z.array(z.string().url()).default([]),
 })
 
-/** An operator's own settings. */
+/** Settings of an operator. */
 export type OperatorConfig = z.infer<typeof operatorConfigSchema>
 
-/** File name that is used where none is given. */
+/** Settings file if the command line names none. */
 export const DEFAULT_OPERATOR_CONFIG_FILE = 'stallwing-operator.jsonc'
 const PLATFORM_TIMEOUT_MS = 3_000
 
-/** Reads a text file. @throws CommandError where it is missing. */
+/** Reads a text file. @throws CommandError if it does not exist. */
 export function readTextFile(file: string): string {
 	if (!existsSync(file)) throw new CommandError(EXIT_CODES.invalid, `${file}: no such file`)
 	return readFileSync(file, 'utf8')
 }
 
-/** Reads and checks the operator's settings. @throws CommandError listing every fault. */
+/** Reads and validates the operator's settings. @throws CommandError that lists every fault. */
 export function loadOperatorConfig(file: string): OperatorConfig {
 	const text = readTextFile(file)
 	const parsed = parseJsonc(file, text)
@@ -38,7 +38,7 @@
 	throw new CommandError(EXIT_CODES.invalid, formatFaults(faults))
 }
 
-/** Text of a list of file faults, a line each. */
+/** Formats file faults, one per line. */
 export function formatFaults(
 	faults:
 		Parameters<typeof describeFileFault>[0][] | readonly Parameters<typeof describeFileFault>[0][],
@@ -46,7 +46,7 @@
 	return faults.map(describeFileFault).join('\n')
 }
 
-/** Opens the platform for one command and closes it after. */
+/** Runs `work` with a platform client, and closes the client when `work` ends. */
 export async function withPlatform<T>(
 	config: OperatorConfig,
 	work: (platform: PlatformClient) => Promise<T>,
@@ -59,7 +59,7 @@
 	}
 }
 
-/** The operator who signs. @throws CommandError where the settings name none. */
+/** Name and private key of the signing operator. @throws CommandError if the settings name none. */
 export function requireSigner(config: OperatorConfig): { name: string; privateKey: string } {
 	if (!config.operator)
 		throw new CommandError(
--- a/apps/stallwing/src/lib/commands/budgetCommands.ts
+++ b/apps/stallwing/src/lib/commands/budgetCommands.ts
@@ -41,23 +41,23 @@
 	inDoubt: number
 }
 
-/** Adds `stallwing budget …`. */
+/** Adds the `stallwing budget` commands. */
 export function addBudgetCommands(program: Command, config: () => string): void {
 	const budget = program.command('budget').description('prepaid budgets')
 	budget
 		.command('show')
-		.description('what is paid, billed, reserved and in doubt')
+		.description('show the prepaid, billed, reserved and in-doubt amounts of each budget')
 		.option('--json', 'print JSON')
 		.action((options: { json?: boolean }) =>
 			showBudgets(loadOperatorConfig(config()), options.json === true),
 		)
 	budget
 		.command('release')
-		.description('free the money in doubt of a box whose machine is gone')
+		.description('release the in-doubt amounts of a box whose machine is gone')
 		.requiredOption('--zone <zone>', 'availability zone of the box')
 		.requiredOption('--box <box>', 'name of the box')
-		.requiredOption('--incarnation <id>', 'the start of the box that is gone')
-		.option('--yes', 'do not ask')
+		.requiredOption('--incarnation <id>', 'incarnation of the box that is gone')
+		.option('--yes', 'skip the confirmation')
 		.action((options: ReleaseOptions) => releaseInDoubt(loadOperatorConfig(config()), options))
 }
 
@@ -91,16 +91,16 @@
 	bundle: Bundle,
 	statuses: readonly (RouterStatus | undefined)[],
 ): Promise<BudgetRow[]> {
-	const sums = new Map<string, BudgetTotals>()
+	const totals = new Map<string, BudgetTotals>()
 	const prepaid = new Map<string, number>()
-	const live = reportedBudgets(statuses)
+	const reported = reportedBudgets(statuses)
 	for (let shard = 0; shard < bundle.policy.shardCount; shard++) {
 		const found = await platform.read(shardKey(shard))
 		const value = found?.value as BudgetShardValue | undefined
 		for (const [name, row] of Object.entries(value?.budgets ?? {})) prepaid.set(name, row.prepaid)
 		for (const zone of bundle.zones) {
 			const ledger = await platform.read(zoneKeys.ledger(zone.name, shard))
-			addLedgerToTotals(sums, ledger?.value as ZoneLedgerValue | undefined, live)
+			addLedgerToTotals(totals, ledger?.value as ZoneLedgerValue | undefined, reported)
 		}
 	}
 	return bundle.accounts.flatMap((account) =>
@@ -108,7 +108,7 @@
 			account: account.name,
 			budget,
 			prepaid: prepaid.get(budget) ?? prepaidOf(bundle, budget),
-			...(sums.get(budget) ?? { billed: 0, reserved: 0, inDoubt: 0 }),
+			...(totals.get(budget) ?? { billed: 0, reserved: 0, inDoubt: 0 }),
 		})),
 	)
 }
@@ -117,32 +117,32 @@
 	return bundle.budgets.find((row) => row.name === budget)?.prepaid ?? 0
 }
 
-/** What running routers say, by `<box>#<incarnation>/<budget>`. */
+/** Amounts that running routers report, by `<box>#<incarnation>/<budget>`. */
 function reportedBudgets(statuses: readonly (RouterStatus | undefined)[]) {
-	const live = new Map<string, { billed: number; reserved: number }>()
+	const reported = new Map<string, { billed: number; reserved: number }>()
 	for (const status of statuses) {
 		if (!status) continue
 		const key = entryKey(status.box as BoxName, status.incarnation as Incarnation)
-		for (const row of status.budgets) live.set(`${key}/${row.budget}`, row)
+		for (const row of status.budgets) reported.set(`${key}/${row.budget}`, row)
 	}
-	return live
+	return reported
 }
 
-/** A running router's own counters are newer than the ledger's. */
+/** Adds a zone ledger to the totals; the counters of a running router are newer than its entry. */
 function addLedgerToTotals(
-	sums: Map<string, BudgetTotals>,
+	totals: Map<string, BudgetTotals>,
 	ledger: ZoneLedgerValue | undefined,
-	live: ReadonlyMap<string, { billed: number; reserved: number }>,
+	reported: ReadonlyMap<string, { billed: number; reserved: number }>,
 ): void {
 	for (const [name, row] of Object.entries(ledger?.budgets ?? {})) {
-		const sum = sums.get(name) ?? { billed: 0, reserved: 0, inDoubt: 0 }
-		sums.set(name, sum)
-		sum.billed += row.closed.billed
+		const total = totals.get(name) ?? { billed: 0, reserved: 0, inDoubt: 0 }
+		totals.set(name, total)
+		total.billed += row.closed.billed
 		for (const [key, entry] of Object.entries(row.entries)) {
-			const own = live.get(`${key}/${name}`)
-			sum.billed += Math.max(entry.billed, own?.billed ?? 0)
-			sum.reserved += own?.reserved ?? 0
-			sum.inDoubt += entry.inDoubt ?? 0
+			const current = reported.get(`${key}/${name}`)
+			total.billed += Math.max(entry.billed, current?.billed ?? 0)
+			total.reserved += current?.reserved ?? 0
+			total.inDoubt += entry.inDoubt ?? 0
 		}
 	}
 }
@@ -170,17 +170,17 @@
 			expected: 0,
 			value: audit,
 		})
-		let freed = 0
+		let released = 0
 		for (let shard = 0; shard < bundle.policy.shardCount; shard++)
-			freed += await releaseInShard(platform, options.zone, shard, key)
-		print(`released ${freed} budget tokens of ${key}`)
+			released += await releaseInShard(platform, options.zone, shard, key)
+		print(`released ${released} budget tokens of ${key}`)
 	})
 }
 
 async function confirm(options: ReleaseOptions): Promise<void> {
 	if (options.yes) return
 	const prompt = createInterface({ input: process.stdin, output: process.stderr })
-	const question = `Is the machine of ${options.box} really gone? Type its name to go on: `
+	const question = `Is the machine of ${options.box} really gone? Type its name to continue: `
 	const answer = await prompt.question(question)
 	prompt.close()
 	if (answer.trim() !== options.box) throw new CommandError(EXIT_CODES.usage, 'not confirmed')
@@ -197,11 +197,11 @@
 		const found = await platform.read(ledgerKey)
 		if (!found) return 0
 		const value = found.value as ZoneLedgerValue
-		let freed = 0
+		let released = 0
 		addSealed(value, key)
 		for (const row of Object.values(value.budgets)) {
 			markEntryInDoubt(row, key)
-			freed += releaseEntry(row, key)
+			released += releaseEntry(row, key)
 		}
 		const result = await platform.call({
 			kind: 'cas',
@@ -209,7 +209,7 @@
 			expected: found.revision,
 			value,
 		})
-		if (result.kind === 'written') return freed
+		if (result.kind === 'written') return released
 	}
 	throw new CommandError(
 		EXIT_CODES.unavailable,
--- a/apps/stallwing/src/lib/commands/bundleCommands.ts
+++ b/apps/stallwing/src/lib/commands/bundleCommands.ts
@@ -29,18 +29,18 @@
 
 const TEMPLATE_FILE = fileURLToPath(new URL('../../../templates/bundle.jsonc', import.meta.url))
 
-/** Adds `stallwing bundle …`. */
+/** Adds the `stallwing bundle` commands. */
 export function addBundleCommands(program: Command, config: () => string): void {
 	const bundle = program.command('bundle').description('the versioned configuration')
 	const load = (): OperatorConfig => loadOperatorConfig(config())
 	bundle
 		.command('init')
-		.description('write a first bundle to start from')
+		.description('write a bundle template')
 		.argument('[file]', 'file to write', 'bundle.jsonc')
 		.action(initBundle)
 	bundle
 		.command('check')
-		.description('check a bundle file; lists every fault')
+		.description('validate a bundle file; lists every fault')
 		.argument('<file>')
 		.action((file: string) => {
 			const found = readBundle(file)
@@ -48,12 +48,12 @@
 		})
 	bundle
 		.command('propose')
-		.description('sign a bundle as its author and store it')
+		.description('sign a bundle as its author and store the proposal')
 		.argument('<file>')
 		.action((file: string) => propose(load(), file))
 	bundle
 		.command('sign')
-		.description('approve a proposed bundle; not by its author')
+		.description('approve a proposed bundle; its author may not')
 		.argument('<hash>')
 		.action((hash: string) => approve(load(), hash))
 	bundle
@@ -63,23 +63,23 @@
 		.action((hash: string) => accept(load(), hash))
 	bundle
 		.command('status')
-		.description('the version in force')
+		.description('show the version in force')
 		.option('--json', 'print JSON')
 		.action((options: { json?: boolean }) => showStatus(load(), options.json === true))
 	bundle
 		.command('diff')
-		.description('what a file would change of the version in force')
+		.description('compare a bundle file with the version in force')
 		.argument('<file>')
 		.action((file: string) => showDiff(load(), file))
 }
 
 function initBundle(file: string): void {
-	if (existsSync(file)) throw new CommandError(EXIT_CODES.conflict, `${file} is there already`)
+	if (existsSync(file)) throw new CommandError(EXIT_CODES.conflict, `${file} already exists`)
 	writeFileSync(file, readFileSync(TEMPLATE_FILE, 'utf8'))
 	print(`wrote ${file}`)
 }
 
-/** Reads and checks a bundle file. @throws CommandError listing every fault. */
+/** Reads and validates a bundle file. @throws CommandError that lists every fault. */
 export function readBundle(file: string): Bundle {
 	const text = readTextFile(file)
 	const parsed = parseJsonc(file, text)
--- a/apps/stallwing/src/lib/commands/lossesCommand.ts
+++ b/apps/stallwing/src/lib/commands/lossesCommand.ts
@@ -13,9 +13,7 @@
 } from '../losses/LossCounter.js'
 import { renderLossChart } from '../losses/renderLossChart.js'
 
-/** Rows of a table by route, account, zone or box that are printed at most. */
 const MAX_ROWS_PER_TABLE = 12
-/** Causes that are named in a row. */
 const MAX_CAUSES_PER_ROW = 4
 
 interface LossesOptions {
@@ -23,30 +21,30 @@
 	readonly svg?: string
 }
 
-/** Adds `stallwing losses`. */
+/** Adds the `stallwing losses` command. */
 export function addLossesCommand(program: Command): void {
 	program
 		.command('losses')
-		.description("what became of each request, from the boxes' log lines")
-		.argument('[files...]', 'log files; standard input where none is named')
+		.description("count failed and late requests by cause, from the boxes' log lines")
+		.argument('[files...]', 'log files; default: standard input')
 		.option('--json', 'print JSON')
-		.option('--svg <file>', 'write a chart of losses in time')
+		.option('--svg <file>', 'write a chart of losses over time')
 		.action((files: string[], options: LossesOptions) => reportLosses(files, options))
 }
 
 async function reportLosses(files: readonly string[], options: LossesOptions): Promise<void> {
-	const ledger = new LossCounter()
-	if (files.length === 0) await addLines(ledger, process.stdin, 'standard input')
-	for (const file of files) await addLines(ledger, createReadStream(file), file)
-	const report = ledger.report()
+	const counter = new LossCounter()
+	if (files.length === 0) await addLines(counter, process.stdin, 'standard input')
+	for (const file of files) await addLines(counter, createReadStream(file), file)
+	const report = counter.report()
 	if (options.svg !== undefined) writeChart(options.svg, report)
 	if (options.json) printJson(toJson(report))
 	else printReport(report)
 }
 
-async function addLines(ledger: LossCounter, input: Readable, name: string): Promise<void> {
+async function addLines(counter: LossCounter, input: Readable, name: string): Promise<void> {
 	try {
-		for await (const line of createInterface({ input, crlfDelay: Infinity })) ledger.add(line)
+		for await (const line of createInterface({ input, crlfDelay: Infinity })) counter.add(line)
 	} catch (error) {
 		throw new CommandError(EXIT_CODES.usage, `cannot read ${name}: ${String(error)}`)
 	}
@@ -71,8 +69,10 @@
 	for (const group of LOSS_GROUPS) {
 		print('')
 		const rows = report.groups[group].slice(0, MAX_ROWS_PER_TABLE).map(([key, counts]) => {
-			const named = sortCauses(counts).filter(([cause]) => cause !== 'in-time')
-			const causes = named.slice(0, MAX_CAUSES_PER_ROW).map(([cause, count]) => `${cause} ${count}`)
+			const lossCauses = sortCauses(counts).filter(([cause]) => cause !== 'in-time')
+			const causes = lossCauses
+				.slice(0, MAX_CAUSES_PER_ROW)
+				.map(([cause, count]) => `${cause} ${count}`)
 			return [key === '' ? '-' : key, `${countLost(counts)}`, causes.join(', ')]
 		})
 		printTable([group, 'lost', 'largest causes'], rows)
--- a/apps/stallwing/src/lib/commands/quarantineCommands.ts
+++ b/apps/stallwing/src/lib/commands/quarantineCommands.ts
@@ -4,33 +4,32 @@
 import { print, printJson, printTable } from '../print.js'
 import { fetchStatuses, requireRouters, type QuarantinedRequest } from '../routerStatus.js'
 
-/** Time that a box has to answer, in ms. */
 const RELEASE_TIMEOUT_MS = 1_000
 const MS_PER_SECOND = 1_000
 
-/** Adds `stallwing quarantine list` and `stallwing quarantine release`. */
+/** Adds the `stallwing quarantine` commands. */
 export function addQuarantineCommands(program: Command, config: () => string): void {
 	const quarantine = program
 		.command('quarantine')
-		.description('requests that end the targets that run them')
+		.description('requests that crash the targets that run them')
 	quarantine
 		.command('list')
-		.description('the quarantined requests, the targets that ended under them, and for how long')
+		.description('list quarantined requests with the targets that they crashed and the time left')
 		.option('--json', 'print JSON')
 		.action((options: { json?: boolean }) => listQuarantined(config(), options.json === true))
 	quarantine
 		.command('release')
-		.description('let a request run again, once what it ended is repaired')
-		.argument('<fingerprint>', 'as `quarantine list` and the log lines show it')
+		.description('allow a request to run again, after the fault that it triggers is fixed')
+		.argument('<fingerprint>', 'fingerprint from `quarantine list` or a log line')
 		.action((fingerprint: string) => releaseQuarantined(config(), fingerprint))
 }
 
 async function listQuarantined(file: string, json: boolean): Promise<void> {
 	const statuses = await fetchStatuses(requireRouters(loadOperatorConfig(file).routers))
-	const known = new Map<string, QuarantinedRequest>()
+	const byFingerprint = new Map<string, QuarantinedRequest>()
 	for (const status of statuses)
-		for (const request of status?.quarantined ?? []) known.set(request.fingerprint, request)
-	const requests = [...known.values()].sort((a, b) => a.ageMs - b.ageMs)
+		for (const request of status?.quarantined ?? []) byFingerprint.set(request.fingerprint, request)
+	const requests = [...byFingerprint.values()].sort((a, b) => a.ageMs - b.ageMs)
 	if (json) {
 		printJson(requests)
 		return
@@ -44,7 +43,7 @@
 	printTable(['request', 'last target ended', 'held for', 'targets'], rows)
 }
 
-/** One box is told; it tells the others. */
+/** Sends the release to the first box that answers; that box informs the others. */
 async function releaseQuarantined(file: string, fingerprint: string): Promise<void> {
 	const urls = requireRouters(loadOperatorConfig(file).routers)
 	for (const url of urls) {
@@ -61,7 +60,7 @@
 	throw new CommandError(EXIT_CODES.unavailable, 'no router answers')
 }
 
-/** Status of the answer; undefined without one. */
+/** Returns the HTTP status, or undefined if the box does not answer. */
 async function requestRelease(url: string, fingerprint: string): Promise<number | undefined> {
 	try {
 		const path = `/quarantine/release?request=${encodeURIComponent(fingerprint)}`
--- a/apps/stallwing/src/lib/commands/routerCommand.ts
+++ b/apps/stallwing/src/lib/commands/routerCommand.ts
@@ -3,13 +3,13 @@
 import { CommandError, EXIT_CODES } from '../CommandError.js'
 import { readTextFile } from '../OperatorConfig.js'
 
-/** Adds `stallwing router`. */
+/** Adds the `stallwing router` command. */
 export function addRouterCommand(program: Command): void {
 	program
 		.command('router')
-		.description('run a router; logs go to the standard output, a JSON line each')
+		.description('run a router; writes log events to standard output, one JSON line each')
 		.requiredOption('--config <file>', 'settings of this box, JSON with comments')
-		.option('--ready-fd', 'print the addresses as the first line of the standard error')
+		.option('--ready-fd', 'print the listening addresses as the first line of standard error')
 		.action((options: { config: string; readyFd?: boolean }) => runRouter(options))
 }
 
--- a/apps/stallwing/src/lib/commands/statusCommands.ts
+++ b/apps/stallwing/src/lib/commands/statusCommands.ts
@@ -9,16 +9,16 @@
 	type NoticedTarget,
 } from '../routerStatus.js'
 
-/** Adds `stallwing status` and `stallwing explain`. */
+/** Adds the `stallwing status` and `stallwing explain` commands. */
 export function addStatusCommands(program: Command, config: () => string): void {
 	program
 		.command('status')
-		.description('the routers, their zones and versions')
+		.description('show the routers, their zones and versions')
 		.option('--json', 'print JSON')
 		.action((options: { json?: boolean }) => showStatus(config(), options.json === true))
 	program
 		.command('explain')
-		.description('why a request ran where it ran, or why it was refused')
+		.description('show the log events of a request: where and why it ran, or why it was refused')
 		.argument('<request-id>', 'value of the stallwing-request-id header')
 		.option('--json', 'print JSON')
 		.action((request: string, options: { json?: boolean }) =>
@@ -60,7 +60,7 @@
 	printTable([...titles, 'left alone'], rows)
 }
 
-/** A target that asked to be left alone, or to be sent less, and how. */
+/** Formats what a target asked for: no work because it leaves, a backoff or a rate limit. */
 function describeNoticed({ target, leavingForMs, backoffMs, rate }: NoticedTarget): string {
 	if (leavingForMs !== undefined) return `${target}(leaves)`
 	if (backoffMs > 0 || !rate) return `${target}(${Math.round(backoffMs)}ms)`
@@ -70,22 +70,22 @@
 async function explainRequest(file: string, request: string, json: boolean): Promise<void> {
 	const urls = requireRouters(loadOperatorConfig(file).routers)
 	const path = `/explain?request=${encodeURIComponent(request)}`
-	const found = await Promise.all(
+	const responses = await Promise.all(
 		urls.map((url) => fetchFromRouter<Record<string, unknown>[]>(`${url}${path}`)),
 	)
-	const lines = found.flatMap((part) => part ?? [])
+	const lines = responses.flatMap((response) => response ?? [])
 	lines.sort((a, b) => String(a.time).localeCompare(String(b.time)))
 	if (lines.length === 0)
-		throw new CommandError(EXIT_CODES.conflict, `no router remembers a request ${request}`)
+		throw new CommandError(EXIT_CODES.conflict, `no router has log lines about request ${request}`)
 	if (json) {
 		printJson(lines)
 		return
 	}
 	for (const { time, event, name, box, zone, ...rest } of lines) {
 		delete rest.request
-		const facts = Object.entries(rest).map(([key, value]) => `${key}=${String(value)}`)
+		const details = Object.entries(rest).map(([key, value]) => `${key}=${String(value)}`)
 		print(
-			`${String(time)} ${String(zone)}/${String(box)} ${String(event)} ${String(name)} ${facts.join(' ')}`,
+			`${String(time)} ${String(zone)}/${String(box)} ${String(event)} ${String(name)} ${details.join(' ')}`,
 		)
 	}
 }
--- a/apps/stallwing/src/lib/losses/LossCause.ts
+++ b/apps/stallwing/src/lib/losses/LossCause.ts
@@ -1,4 +1,4 @@
-/** What became of a request, as far as the boxes' log lines tell. */
+/** Outcomes of a request that the boxes' log lines show. */
 export const LOSS_CAUSES = [
 	'in-time',
 	'late-at-box',
@@ -21,10 +21,10 @@
 ] as const
 
 /**
- * - `late-at-box`: more than half of the time allowed had passed before a target was asked.
- * - `late-at-target`: the target began to answer too late, as while it reads a long prompt.
- * - `late-in-pause`: the answer began in time, and then paused for too long.
- * - `refused-at-fault`: the request itself was refused (no route, no key, malformed).
- * - `failed-box-gone`: the box has no line about the end of the request.
+ * - `late-at-box`: the box used more than half of the allowed time to send the request to a target.
+ * - `late-at-target`: the target sent its first byte too late, for example because of a long prompt.
+ * - `late-in-pause`: the response started in time, but then paused for too long.
+ * - `refused-at-fault`: the request itself was at fault (no route, no key, malformed).
+ * - `failed-box-gone`: no box logged the end of the request.
  */
 export type LossCause = (typeof LOSS_CAUSES)[number]
--- a/apps/stallwing/src/lib/losses/LossCounter.test.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.test.ts
@@ -5,13 +5,13 @@
 
 const START = Date.parse('2026-01-01T00:00:00.000Z')
 
-function lineOf(name: string, fields: Record<string, unknown>, second = 0): string {
+function logLine(name: string, fields: Record<string, unknown>, second = 0): string {
 	const time = new Date(START + second * 1_000).toISOString()
 	return JSON.stringify({ time, name, box: 'b-1', zone: 'north', ...fields })
 }
 
 function answered(fields: Record<string, unknown>): string {
-	const usual = {
+	const defaults = {
 		status: 200,
 		sentMs: 5,
 		firstMs: 80,
@@ -19,25 +19,25 @@
 		longestPauseMs: 0,
 		pauseAimMs: 50,
 	}
-	return lineOf('request-answered', {
+	return logLine('request-answered', {
 		request: 'r',
 		route: 'a',
 		account: 'acme',
-		...usual,
+		...defaults,
 		...fields,
 	})
 }
 
-function causesOf(...lines: string[]): Record<string, number> {
-	const ledger = new LossCounter()
-	for (const line of lines) ledger.add(line)
-	return Object.fromEntries(ledger.report().causes)
+function countCauses(...lines: string[]): Record<string, number> {
+	const counter = new LossCounter()
+	for (const line of lines) counter.add(line)
+	return Object.fromEntries(counter.report().causes)
 }
 
-describe('LossLedger', () => {
-	it('tells why an answer was late', () => {
+describe('LossCounter', () => {
+	it('attributes a late response to its cause', () => {
 		expect(
-			causesOf(
+			countCauses(
 				answered({}),
 				answered({ firstMs: 150 }),
 				answered({ firstMs: 150, sentMs: 90 }),
@@ -53,20 +53,20 @@
 		})
 	})
 
-	it('tells why a request was refused or failed, on both interfaces', () => {
-		const refused = (kind: string, detail = '') => lineOf('request-refused', { kind, detail })
+	it('attributes refusals and failures to their causes on both interfaces', () => {
+		const refused = (kind: string, detail = '') => logLine('request-refused', { kind, detail })
 		expect(
-			causesOf(
+			countCauses(
 				refused('budget-unknown'),
 				refused('budget-spent'),
 				refused('no-route'),
 				refused('target-failed', 'silent'),
 				refused('target-failed', 'read ECONNRESET'),
 				refused('timed-out', 'time limit'),
-				lineOf('request-failed', { cause: 'answer broken off' }),
-				lineOf('request-cancelled', {}),
-				lineOf('request-refused', { type: 'budget-exhausted' }),
-				lineOf('request-billed', { request: 'x' }),
+				logLine('request-failed', { cause: 'answer broken off' }),
+				logLine('request-cancelled', {}),
+				logLine('request-refused', { type: 'budget-exhausted' }),
+				logLine('request-billed', { request: 'x' }),
 			),
 		).toEqual({
 			'refused-budget-unknown': 1,
@@ -80,24 +80,24 @@
 		})
 	})
 
-	it('counts a request whose box wrote no end', () => {
-		const chosen = lineOf('target-chosen', { request: 'r-1' })
-		expect(causesOf(chosen)).toEqual({ 'failed-box-gone': 1 })
-		expect(causesOf(lineOf('request-cancelled', { request: 'r-1' }), chosen)).toEqual({
+	it('counts a request without a logged end as failed-box-gone', () => {
+		const chosen = logLine('target-chosen', { request: 'r-1' })
+		expect(countCauses(chosen)).toEqual({ 'failed-box-gone': 1 })
+		expect(countCauses(logLine('request-cancelled', { request: 'r-1' }), chosen)).toEqual({
 			'caller-left': 1,
 		})
 	})
 
-	it('counts by route, account, zone, box and second, largest first, in any order of lines', () => {
+	it('counts by group and by second, largest first, in any order of lines', () => {
 		const lines = [
-			lineOf('request-refused', { kind: 'no-target', route: 'b', account: 'acme' }, 2),
-			lineOf('request-refused', { kind: 'no-target', route: 'b', account: 'other', sent: 2 }, 0),
+			logLine('request-refused', { kind: 'no-target', route: 'b', account: 'acme' }, 2),
+			logLine('request-refused', { kind: 'no-target', route: 'b', account: 'other', sent: 2 }, 0),
 			answered({ route: 'a' }),
 		]
 		for (const order of [lines, [...lines].reverse()]) {
-			const ledger = new LossCounter()
-			for (const line of order) ledger.add(`  12.5 b-1 ${line}`)
-			const report = ledger.report()
+			const counter = new LossCounter()
+			for (const line of order) counter.add(`  12.5 b-1 ${line}`)
+			const report = counter.report()
 			expect(report.requests).toBe(3)
 			expect(report.repeated).toBe(1)
 			expect(report.groups.route.map(([key, counts]) => [key, countLost(counts)])).toEqual([
@@ -109,7 +109,7 @@
 		}
 	})
 
-	it('passes over lines that are cut off or foreign, and never fails', () => {
+	it('counts truncated and foreign lines and never throws', () => {
 		const text = fc.oneof(
 			fc.string(),
 			fc.json(),
@@ -117,10 +117,10 @@
 		)
 		fc.assert(
 			fc.property(fc.array(text), (lines) => {
-				const ledger = new LossCounter()
-				for (const line of lines) ledger.add(line)
-				ledger.add(answered({}))
-				const report = ledger.report()
+				const counter = new LossCounter()
+				for (const line of lines) counter.add(line)
+				counter.add(answered({}))
+				const report = counter.report()
 				expect(report.requests).toBe(1)
 				expect(report.foreignLines).toBe(lines.filter((line) => line.trim() !== '').length)
 				renderLossChart(report)
--- a/apps/stallwing/src/lib/losses/LossCounter.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.ts
@@ -2,24 +2,24 @@
 import { LOSS_CAUSES, type LossCause } from './LossCause.js'
 import { readLogLine, type LogLine } from './readLogLine.js'
 
-/** What losses are counted by. */
+/** Dimensions by which losses are counted. */
 export const LOSS_GROUPS = ['route', 'account', 'zone', 'box'] as const
 export type LossGroup = (typeof LOSS_GROUPS)[number]
 
-/** Requests by cause. */
+/** Number of requests by cause. */
 export type LossCounts = ReadonlyMap<LossCause, number>
 
-/** What a {@link LossCounter} found, largest first. */
+/** Result of a {@link LossCounter}; causes and groups with the most losses come first. */
 export interface LossReport {
-	/** Requests with an end, and those whose box was gone before it. */
+	/** All requests, with or without a logged end. */
 	readonly requests: number
 	/** Requests that were sent to more than one target. */
 	readonly repeated: number
-	/** Lines that are no log lines, or cut off. */
+	/** Lines that are truncated or not log lines. */
 	readonly foreignLines: number
 	readonly causes: readonly (readonly [LossCause, number])[]
 	readonly groups: Readonly<Record<LossGroup, readonly (readonly [string, LossCounts])[]>>
-	/** Requests by cause in each second since the first end; index 0 is the first second. */
+	/** Counts for each second since the end of the first request. */
 	readonly seconds: readonly LossCounts[]
 }
 
@@ -38,7 +38,7 @@
 const MS_PER_SECOND = 1_000
 const CAUSE_ORDER = new Map(LOSS_CAUSES.map((cause, i) => [cause, i]))
 
-/** Reads log lines of any number of boxes, in any order, and counts what became of each request. */
+/** Counts the outcomes of requests from the log lines of any number of boxes, in any order. */
 export class LossCounter {
 	private readonly ends: EndedRequest[] = []
 	private readonly openRequests = new Map<string, OpenRequest>()
@@ -54,8 +54,10 @@
 	}
 
 	report(): LossReport {
-		const lost = [...this.openRequests].filter(([request]) => !this.endedRequests.has(request))
-		const ends = [...this.ends, ...lost.map(([, open]) => endOfUnfinished(open))]
+		const unfinished = [...this.openRequests].filter(
+			([request]) => !this.endedRequests.has(request),
+		)
+		const ends = [...this.ends, ...unfinished.map(([, open]) => endOfUnfinished(open))]
 		return {
 			requests: ends.length,
 			repeated: this.repeated,
@@ -82,17 +84,17 @@
 		if (cause === undefined) return
 		if (fields.request !== undefined) this.endedRequests.add(request)
 		if (typeof fields.sent === 'number' && fields.sent > 1) this.repeated++
-		const by = {
+		const groupKeys = {
 			route: stringOrEmpty(fields.route),
 			account: stringOrEmpty(fields.account),
 			zone,
 			box,
 		}
-		this.ends.push({ cause, atMs, groupKeys: by })
+		this.ends.push({ cause, atMs, groupKeys })
 	}
 }
 
-/** Losses first, by their number; answers in time last. */
+/** Sorts causes by number, largest first; `in-time` is last. */
 export function sortCauses(counts: LossCounts): (readonly [LossCause, number])[] {
 	const order = (cause: LossCause): number => CAUSE_ORDER.get(cause) ?? 0
 	return [...counts].sort(([a, m], [b, n]) => {
@@ -101,7 +103,7 @@
 	})
 }
 
-/** Requests that were not answered in time. */
+/** Number of requests that were not answered in time. */
 export function countLost(counts: LossCounts): number {
 	let lost = 0
 	for (const [cause, count] of counts) if (cause !== 'in-time') lost += count
@@ -125,8 +127,8 @@
 	const groups = new Map<string, EndedRequest[]>()
 	for (const end of ends) {
 		const key = end.groupKeys[group]
-		const known = groups.get(key)
-		if (known) known.push(end)
+		const existing = groups.get(key)
+		if (existing) existing.push(end)
 		else groups.set(key, [end])
 	}
 	const rows = [...groups].map(([key, part]) => [key, countCauses(part)] as const)
@@ -135,15 +137,15 @@
 
 function countBySecond(ends: readonly EndedRequest[]): LossCounts[] {
 	if (ends.length === 0) return []
-	const first = ends.reduce((least, { atMs }) => Math.min(least, atMs), Number.POSITIVE_INFINITY)
-	const last = ends.reduce((most, { atMs }) => Math.max(most, atMs), first)
+	const first = ends.reduce((min, { atMs }) => Math.min(min, atMs), Number.POSITIVE_INFINITY)
+	const last = ends.reduce((max, { atMs }) => Math.max(max, atMs), first)
 	const seconds = Math.floor((last - first) / MS_PER_SECOND) + 1
 	const parts = Array.from({ length: Math.min(seconds, MAX_SECONDS) }, (): EndedRequest[] => [])
 	for (const end of ends) parts[Math.floor((end.atMs - first) / MS_PER_SECOND)]?.push(end)
 	return parts.map(countCauses)
 }
 
-/** Seconds that are told apart at most: logs of a day are to be cut before. */
+/** Maximum length of {@link LossReport.seconds}; later ends are not counted by second. */
 const MAX_SECONDS = 7_200
 
 function stringOrEmpty(value: unknown): string {
--- a/apps/stallwing/src/lib/losses/causeOf.ts
+++ b/apps/stallwing/src/lib/losses/causeOf.ts
@@ -1,7 +1,7 @@
 import type { LossCause } from './LossCause.js'
 import type { LogLine } from './readLogLine.js'
 
-/** Kinds of refusal, of both interfaces, by cause. */
+/** Loss causes by refusal kind, of both interfaces. */
 const CAUSE_BY_REFUSAL_KIND: Readonly<Record<string, LossCause>> = {
 	'budget-unknown': 'refused-budget-unknown',
 	'budget-spent': 'refused-budget-spent',
@@ -19,11 +19,11 @@
 	'caller-gone': 'caller-left',
 }
 
-/** Part of the time allowed after which it is the box that made an answer late. */
+/** A response is late because of the box if it sent the request after this fraction of the time. */
 const MAX_BOX_TIME_FRACTION = 0.5
 const MIN_ERROR_STATUS = 500
 
-/** What a line says of the end of a request; undefined where it is about something else. */
+/** Outcome that a log line reports; undefined if the line does not report the end of a request. */
 export function causeOf({ name, fields }: LogLine): LossCause | undefined {
 	switch (name) {
 		case 'request-answered':
@@ -43,12 +43,16 @@
 
 function causeOfAnswer(fields: LogLine['fields']): LossCause {
 	if (numberOf(fields.status) >= MIN_ERROR_STATUS) return 'failed-status'
-	const aim = numberOf(fields.aimMs)
-	if (aim <= 0) return 'in-time'
-	if (numberOf(fields.firstMs) > aim)
-		return numberOf(fields.sentMs) > MAX_BOX_TIME_FRACTION * aim ? 'late-at-box' : 'late-at-target'
-	const pauseAim = numberOf(fields.pauseAimMs)
-	return pauseAim > 0 && numberOf(fields.longestPauseMs) > pauseAim ? 'late-in-pause' : 'in-time'
+	const firstByteLimitMs = numberOf(fields.aimMs)
+	if (firstByteLimitMs <= 0) return 'in-time'
+	if (numberOf(fields.firstMs) > firstByteLimitMs)
+		return numberOf(fields.sentMs) > MAX_BOX_TIME_FRACTION * firstByteLimitMs
+			? 'late-at-box'
+			: 'late-at-target'
+	const pauseLimitMs = numberOf(fields.pauseAimMs)
+	return pauseLimitMs > 0 && numberOf(fields.longestPauseMs) > pauseLimitMs
+		? 'late-in-pause'
+		: 'in-time'
 }
 
 function causeOfRefusal(fields: LogLine['fields']): LossCause {
--- a/apps/stallwing/src/lib/losses/readLogLine.ts
+++ b/apps/stallwing/src/lib/losses/readLogLine.ts
@@ -1,6 +1,6 @@
-/** A line of a box's log: one numbered event with its fields. */
+/** One log event of a box. */
 export interface LogLine {
-	/** Time of day, in ms. */
+	/** Time of the event, in ms since the epoch. */
 	readonly atMs: number
 	readonly name: string
 	readonly box: string
@@ -9,8 +9,8 @@
 }
 
 /**
- * Reads a line as the boxes write it. Text before the first brace is passed over: whoever gathers the
- * lines may have put a time or a box before them. Undefined where it is something else, or cut off.
+ * Parses a log line. Ignores text before the first brace, because a log collector may prepend a time
+ * or a box name. Returns undefined if the line is truncated or not a log line.
  */
 export function readLogLine(text: string): LogLine | undefined {
 	const start = text.indexOf('{')
--- a/apps/stallwing/src/lib/losses/renderLossChart.ts
+++ b/apps/stallwing/src/lib/losses/renderLossChart.ts
@@ -6,7 +6,7 @@
 const WIDTH = 1_000
 const HEIGHT = 420
 const MARGIN = { left: 50, right: 230, top: 20, bottom: 40 }
-/** Causes that get a line of their own, largest first: more can't be told apart by colour. */
+/** Maximum number of causes in the chart, one per colour. */
 const MAX_CHART_LINES = 8
 const COLOURS = [
 	'#1f77b4',
@@ -20,7 +20,7 @@
 ]
 const AXIS_TICK_COUNT = 8
 
-/** An SVG page with one line in time for each of the largest causes. */
+/** Renders an SVG chart with one line over time for each of the largest causes. */
 export function renderLossChart(report: LossReport): string {
 	const causes = report.causes
 		.map(([cause]) => cause)
--- a/apps/stallwing/src/lib/routerStatus.ts
+++ b/apps/stallwing/src/lib/routerStatus.ts
@@ -1,29 +1,29 @@
 import { CommandError, EXIT_CODES } from './CommandError.js'
 
-/** A quarantined request, as a gateway tells it. */
+/** A quarantined request in the status of a gateway. */
 export interface QuarantinedRequest {
 	readonly fingerprint: string
-	/** Lives of targets that ended under it. */
+	/** Target incarnations that it crashed. */
 	readonly lives: readonly string[]
-	/** Time since the last of them ended, in ms. */
+	/** Time since the latest crash, in ms. */
 	readonly ageMs: number
-	/** Time until it may run again, in ms. */
+	/** Time until the quarantine ends, in ms. */
 	readonly heldMs: number
 }
 
-/** A target that gets less work, or none, because of its own word, as a gateway tells it; times in ms. */
+/** A target that asked a gateway for less work or none. */
 export interface NoticedTarget {
 	readonly target: string
 	readonly service: string
-	/** Time since it first said that it leaves; not there where it did not. */
+	/** Time since it first announced that it leaves, in ms; undefined if it did not. */
 	readonly leavingForMs?: number
-	/** Time until the backoff that it asked for ends; 0 where there is none. */
+	/** Time until the backoff that it requested ends, in ms; 0 if there is none. */
 	readonly backoffMs: number
-	/** Requests a second that it named for all boxes, and what this box has of them; not there where it named none. */
+	/** Rate limit that it set for all boxes, and the share of this box; undefined if it set none. */
 	readonly rate?: { readonly perSecond: number; readonly share: { readonly perSecond: number } }
 }
 
-/** A router's own word on itself, as far as the command line reads it. */
+/** The part of a router's status that the command line uses. */
 export interface RouterStatus {
 	readonly box: string
 	readonly zone: string
@@ -34,13 +34,13 @@
 	readonly bundleVersion: number
 	readonly platformUp: boolean
 	readonly requests: number
-	/** Availability zones that take no new work, as the box knows; a router of the own interface has none. */
+	/** Availability zones that receive no new work; only present in the status of a gateway. */
 	readonly cordonedZones?: readonly { readonly zone: string; readonly ageMs: number }[]
-	/** Targets that get no work because of their own word; only of a gateway. */
+	/** Targets that asked for less work or none; only present in the status of a gateway. */
 	readonly noticedTargets?: readonly NoticedTarget[]
-	/** Requests that end their targets and aren't sent to any; only of a gateway. */
+	/** Requests that are not sent to any target because they crash targets; gateway only. */
 	readonly quarantined?: readonly QuarantinedRequest[]
-	/** Version of the traffic configuration; only of a gateway, which has no keeper, view or bundle. */
+	/** Version of the traffic configuration; gateway only. A gateway has no keeper, view or bundle. */
 	readonly configuration?: number
 	readonly budgets: readonly {
 		readonly budget: string
@@ -51,22 +51,22 @@
 
 const REQUEST_TIMEOUT_MS = 1_000
 
-/** Asks every router; one that does not answer is undefined. */
+/** Fetches the status of every router; undefined for a router that does not answer. */
 export function fetchStatuses(urls: readonly string[]): Promise<(RouterStatus | undefined)[]> {
 	return Promise.all(urls.map((url) => fetchFromRouter<RouterStatus>(`${url}/status`)))
 }
 
-/** Asks one router for a JSON document; undefined where it does not answer. */
+/** Fetches a JSON document from a router; undefined if it does not answer. */
 export async function fetchFromRouter<T>(url: string): Promise<T | undefined> {
 	try {
-		const reply = await fetch(url, { signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) })
-		return (await reply.json()) as T
+		const response = await fetch(url, { signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS) })
+		return (await response.json()) as T
 	} catch {
 		return undefined
 	}
 }
 
-/** @throws CommandError where the settings name no router. */
+/** Returns the URLs. @throws CommandError if there are none. */
 export function requireRouters(urls: readonly string[]): readonly string[] {
 	if (urls.length > 0) return urls
 	throw new CommandError(EXIT_CODES.invalid, 'the operator settings list no "routers" to ask')
--- a/apps/stallwing/src/main.ts
+++ b/apps/stallwing/src/main.ts
@@ -16,7 +16,7 @@
 	.version('0.1.0')
 	.option(
 		'-c, --operator-config <file>',
-		'settings of the operator',
+		'settings file of the operator',
 		process.env.STALLWING_OPERATOR,
 	)
 	.showHelpAfterError('(run with --help for the options)')
