--- a/apps/stallwing/src/lib/commands/budgetCommands.ts
+++ b/apps/stallwing/src/lib/commands/budgetCommands.ts
@@ -95,8 +95,8 @@
 	const prepaid = new Map<string, number>()
 	const reported = reportedBudgets(statuses)
 	for (let shard = 0; shard < bundle.policy.shardCount; shard++) {
-		const found = await platform.read(shardKey(shard))
-		const value = found?.value as BudgetShardValue | undefined
+		const stored = await platform.read(shardKey(shard))
+		const value = stored?.value as BudgetShardValue | undefined
 		for (const [name, row] of Object.entries(value?.budgets ?? {})) prepaid.set(name, row.prepaid)
 		for (const zone of bundle.zones) {
 			const ledger = await platform.read(zoneKeys.ledger(zone.name, shard))
@@ -194,9 +194,9 @@
 ): Promise<number> {
 	const ledgerKey = zoneKeys.ledger(zone as Parameters<typeof zoneKeys.ledger>[0], shard)
 	for (let i = 0; i < MAX_CAS_ATTEMPTS; i++) {
-		const found = await platform.read(ledgerKey)
-		if (!found) return 0
-		const value = found.value as ZoneLedgerValue
+		const stored = await platform.read(ledgerKey)
+		if (!stored) return 0
+		const value = stored.value as ZoneLedgerValue
 		let released = 0
 		addSealed(value, key)
 		for (const row of Object.values(value.budgets)) {
@@ -206,7 +206,7 @@
 		const result = await platform.call({
 			kind: 'cas',
 			key: ledgerKey,
-			expected: found.revision,
+			expected: stored.revision,
 			value,
 		})
 		if (result.kind === 'written') return released
--- a/apps/stallwing/src/lib/commands/bundleCommands.ts
+++ b/apps/stallwing/src/lib/commands/bundleCommands.ts
@@ -43,8 +43,8 @@
 		.description('validate a bundle file; lists every fault')
 		.argument('<file>')
 		.action((file: string) => {
-			const found = readBundle(file)
-			print(`${file}: version ${found.version} is valid`)
+			const validBundle = readBundle(file)
+			print(`${file}: version ${validBundle.version} is valid`)
 		})
 	bundle
 		.command('propose')
@@ -172,6 +172,6 @@
 		case 'not-next':
 			return `version ${fault.version} is not the next one: expected ${fault.next}`
 		case 'prepaid-allotted':
-			return `budget ${fault.budget}: ${fault.outstanding} is out in the zones, more than ${fault.prepaid}`
+			return `budget ${fault.budget}: ${fault.outstanding} is allotted to zones, more than ${fault.prepaid}`
 	}
 }
--- a/apps/stallwing/src/lib/losses/causeOf.ts
+++ b/apps/stallwing/src/lib/losses/causeOf.ts
@@ -19,7 +19,7 @@
 	'caller-gone': 'caller-left',
 }
 
-/** A response is late because of the box if it sent the request after this fraction of the time. */
+/** A late response is due to the box if it sent the request after this fraction of the limit. */
 const MAX_BOX_TIME_FRACTION = 0.5
 const MIN_ERROR_STATUS = 500
 
--- a/packages/router/src/lib/RouterDaemon.ts
+++ b/packages/router/src/lib/RouterDaemon.ts
@@ -389,13 +389,13 @@
 		void this.pollLeavingTargets(index)
 	}
 
-	/** Reports the targets that the platform lists as leaving to the core. */
+	/** Sends the core an event with the targets that the platform lists as leaving. */
 	private async pollLeavingTargets(index: BundleIndex): Promise<void> {
 		const leavingNames = await this.platform.leavingBoxNames()
 		if (!leavingNames) return
 		const targets = leavingNames.map((name) => brandId<TargetName>(name))
-		const known = targets.filter((name) => index.target(name) !== undefined)
-		this.dispatch({ kind: 'leaving-targets', targets: known })
+		const knownTargets = targets.filter((name) => index.target(name) !== undefined)
+		this.dispatch({ kind: 'leaving-targets', targets: knownTargets })
 	}
 
 	private gauges(): Record<string, number> {
