--- a/internal/soak/src/index.ts
+++ b/internal/soak/src/index.ts
@@ -1,4 +1,4 @@
-/** Worlds of many cores in virtual time, for tests and measurements. */
+/** Deterministic simulations of many router cores in virtual time, for tests and benchmarks. */
 export { InvariantViolation, Simulation, type SimulationOptions } from './lib/Simulation.js'
 export { collectBudgetTotals, type BudgetTotals } from './lib/checkInvariants.js'
 export type { SimBox } from './lib/SimBox.js'
--- a/internal/soak/src/lib/Callers.ts
+++ b/internal/soak/src/lib/Callers.ts
@@ -19,7 +19,7 @@
 	readonly repeatable: boolean
 	callCount: number
 	openCallCount: number
-	/** True while every try so far was refused as not run. */
+	/** True while every call so far was refused without running. */
 	allCallsRefusedNotRun: boolean
 	answered: boolean
 	id: RequestId | undefined
@@ -32,16 +32,19 @@
 }
 
 const FIRST_BYTE_TIMEOUT_MS = 6_000
-/** Price of a plain-service call in the worlds' bundle. */
+/** Charge of a plain-service call in the simulated bundle. */
 export const SERVICE_CHARGE = 7
 const MAX_CALLS_PER_REQUEST = 6
 
-/** Callers in virtual time: they send, lose patience, and come back with the same key anywhere. */
+/**
+ * Simulated callers. They send requests, disconnect, and retry with the same idempotency key at any
+ * box.
+ */
 export class Callers {
 	readonly stats = { sent: 0, answered: 0, refused: 0, unknown: 0 }
-	/** Ids whose whole answer reached a caller. */
+	/** Requests whose complete answer reached a caller. */
 	readonly answeredIds = new Set<RequestId>()
-	/** Ids that may run at most once. */
+	/** Requests that may run at most once. */
 	readonly nonRepeatableIds = new Set<RequestId>()
 	readonly serviceRequestIds = new Set<RequestId>()
 	readonly budgetByRequest = new Map<RequestId, BudgetName>()
@@ -51,12 +54,15 @@
 
 	constructor(private readonly simulation: Simulation) {}
 
-	/** Charge of a request that ran to its end: the same wherever it ran. */
+	/** Charge of a completed request, the same at every target. */
 	chargeOf(id: RequestId): number {
 		return this.serviceRequestIds.has(id) ? SERVICE_CHARGE : INPUT_TOKENS + 2 * outputTokensOf(id)
 	}
 
-	/** Value that an all-knowing oracle would have run of these arrivals, and that was answered. */
+	/**
+	 * Sums the charges of the requests that an oracle with full knowledge would have run, and of those
+	 * that were answered.
+	 */
 	compareWithOracle(prepaid: number): { oracleValue: number; answeredValue: number } {
 		const demand = new Map<BudgetName, number>()
 		let answeredValue = 0
@@ -65,32 +71,32 @@
 			if (this.answeredIds.has(id)) answeredValue += this.chargeOf(id)
 		}
 		let oracleValue = 0
-		for (const wanted of demand.values()) oracleValue += Math.min(prepaid, wanted)
+		for (const charge of demand.values()) oracleValue += Math.min(prepaid, charge)
 		return { oracleValue, answeredValue }
 	}
 
-	/** Sends a new request to some box. */
+	/** Sends a new request to a random box. */
 	sendNewRequest(): void {
 		const { random, queue } = this.simulation
-		// A few large accounts and many small ones.
-		const rank = Math.floor(random.next() ** 2 * this.simulation.accounts.length)
-		const account = this.simulation.accounts[rank] as string
-		const model = random.chance(0.7)
+		// Squaring gives a few accounts most of the requests.
+		const accountIndex = Math.floor(random.next() ** 2 * this.simulation.accounts.length)
+		const account = this.simulation.accounts[accountIndex] as string
+		const isModel = random.chance(0.7)
 		const zone = random.pick(this.simulation.zones)
-		const stamp = Math.floor(queue.now).toString(36).padStart(6, '0')
-		const zoned = `${zone}.${stamp}.k${String(this.nextKeyNumber).padStart(6, '0')}`
-		const key = random.chance(0.6) ? zoned : `plain-${this.nextKeyNumber}`
+		const timestamp = Math.floor(queue.now).toString(36).padStart(6, '0')
+		const zonedKey = `${zone}.${timestamp}.k${String(this.nextKeyNumber).padStart(6, '0')}`
+		const key = random.chance(0.6) ? zonedKey : `plain-${this.nextKeyNumber}`
 		this.nextKeyNumber++
 		const id = brandId<RequestId>(`${account}/${key}`)
 		const repeatable = random.chance(0.5)
 		if (!repeatable) this.nonRepeatableIds.add(id)
 		this.budgetByRequest.set(id, brandId<BudgetName>(`budget-${account}`))
-		if (!model) this.serviceRequestIds.add(id)
+		if (!isModel) this.serviceRequestIds.add(id)
 		this.send({
 			key,
 			account: brandId<AccountName>(account),
 			budget: brandId<BudgetName>(`budget-${account}`),
-			isModel: model,
+			isModel,
 			repeatable,
 			callCount: 0,
 			openCallCount: 0,
@@ -101,120 +107,123 @@
 		this.stats.sent++
 	}
 
-	/** The relaying or first box hands a try to another one. */
+	/** Relays a call from one box to another. */
 	relay(from: SimBox, callId: CallId, to: SimBox, id: RequestId, account: AccountName): void {
-		const open = this.openCalls.get(callId)
-		if (!open) return
-		const hop = brandId<CallId>(`${callId}>${to.name}`)
-		this.openCalls.set(hop, { request: open.request, box: to, id })
-		open.id = id
-		const hops = callId.split('>').length
-		const born = from.incarnation
+		const call = this.openCalls.get(callId)
+		if (!call) return
+		const relayedCallId = brandId<CallId>(`${callId}>${to.name}`)
+		this.openCalls.set(relayedCallId, { request: call.request, box: to, id })
+		call.id = id
+		const hopCount = callId.split('>').length
+		const incarnation = from.incarnation
 		this.simulation.deliver(from, to, () => {
-			to.handle({ kind: 'request', request: this.requestEvent(open.request, hop, hops, account) })
+			to.handle({
+				kind: 'request',
+				request: this.requestEvent(call.request, relayedCallId, hopCount, account),
+			})
 		})
-		// A relay that gets no answer is seen as broken.
+		// The relaying box treats a relay without a timely answer as failed.
 		this.simulation.queue.schedule(FIRST_BYTE_TIMEOUT_MS, () => {
-			if (!this.openCalls.has(hop)) return
-			this.openCalls.delete(hop)
-			from.handle({ kind: 'relay-failed', callId, notRun: false }, born)
+			if (!this.openCalls.has(relayedCallId)) return
+			this.openCalls.delete(relayedCallId)
+			from.handle({ kind: 'relay-failed', callId, notRun: false }, incarnation)
 		})
 	}
 
-	/** An answer or refusal of one try. */
+	/** Closes a refused call, or forwards the refusal to the box that relayed it. */
 	onRefused(box: SimBox, callId: CallId, refusal: Refusal): void {
-		const open = this.openCalls.get(callId)
-		if (!open) return
-		const parent = parentCallId(callId)
-		if (parent === undefined) this.closeCall(callId, open, refusal.run)
-		else this.simulation.deliverReply(box, () => this.forwardRefusal(callId, parent, refusal))
+		const call = this.openCalls.get(callId)
+		if (!call) return
+		const parentId = parentCallId(callId)
+		if (parentId === undefined) this.closeCall(callId, call, refusal.run)
+		else this.simulation.deliverReply(box, () => this.forwardRefusal(callId, parentId, refusal))
 	}
 
-	/** A run failed: its callers are told. */
+	/** Refuses all calls that wait for a failed run. */
 	onRunFailed(box: SimBox, id: RequestId, refusal: Refusal): void {
-		for (const [callId, open] of [...this.openCalls])
-			if (open.id === id && open.box === box) this.onRefused(box, callId, refusal)
+		for (const [callId, call] of [...this.openCalls])
+			if (call.id === id && call.box === box) this.onRefused(box, callId, refusal)
 	}
 
-	/** The core attached a try to a run. */
+	/** Records the run that will answer a call. */
 	onAttached(callId: CallId, id: RequestId): void {
-		const open = this.openCalls.get(callId)
-		if (!open) return
-		open.id = id
-		open.request.id = id
-		if (!id.endsWith(open.request.key)) this.simulation.fail('foreign-answer', { id, callId })
+		const call = this.openCalls.get(callId)
+		if (!call) return
+		call.id = id
+		call.request.id = id
+		if (!id.endsWith(call.request.key)) this.simulation.fail('foreign-answer', { id, callId })
 	}
 
-	/** The answer of a run goes out whole. */
+	/** Delivers the complete answer of a run to all calls that wait for it. */
 	onAnswerComplete(box: SimBox, id: RequestId): void {
-		for (const [callId, open] of [...this.openCalls])
-			if (open.id === id && open.box === box) this.forwardAnswer(callId, open, box)
+		for (const [callId, call] of [...this.openCalls])
+			if (call.id === id && call.box === box) this.forwardAnswer(callId, call, box)
 	}
 
-	/** A box is gone: its tries are reset. */
+	/** Resets all calls at a stopped box. */
 	onBoxDown(box: SimBox): void {
-		for (const [callId, open] of [...this.openCalls]) {
-			if (open.box !== box) continue
-			const parent = parentCallId(callId)
-			if (parent === undefined) this.closeCall(callId, open, 'unknown')
-			else this.failRelay(callId, parent)
+		for (const [callId, call] of [...this.openCalls]) {
+			if (call.box !== box) continue
+			const parentId = parentCallId(callId)
+			if (parentId === undefined) this.closeCall(callId, call, 'unknown')
+			else this.failRelay(callId, parentId)
 		}
 	}
 
-	private forwardAnswer(callId: CallId, open: OpenCall, box: SimBox): void {
-		const parent = parentCallId(callId)
-		if (parent === undefined) {
-			if (open.id) this.answeredIds.add(open.id)
-			open.request.answered = true
-			this.closeCall(callId, open, 'yes')
+	private forwardAnswer(callId: CallId, call: OpenCall, box: SimBox): void {
+		const parentId = parentCallId(callId)
+		if (parentId === undefined) {
+			if (call.id) this.answeredIds.add(call.id)
+			call.request.answered = true
+			this.closeCall(callId, call, 'yes')
 			return
 		}
 		this.simulation.deliverReply(box, () => {
-			const above = this.openCalls.get(parent)
+			const parentCall = this.openCalls.get(parentId)
 			this.openCalls.delete(callId)
-			if (above) this.forwardAnswer(parent, above, above.box)
+			if (parentCall) this.forwardAnswer(parentId, parentCall, parentCall.box)
 		})
 	}
 
-	private forwardRefusal(callId: CallId, parent: CallId, refusal: Refusal): void {
+	private forwardRefusal(callId: CallId, parentId: CallId, refusal: Refusal): void {
 		this.openCalls.delete(callId)
-		const above = this.openCalls.get(parent)
-		if (above) this.onRefused(above.box, parent, refusal)
+		const parentCall = this.openCalls.get(parentId)
+		if (parentCall) this.onRefused(parentCall.box, parentId, refusal)
 	}
 
-	private failRelay(callId: CallId, parent: CallId): void {
+	private failRelay(callId: CallId, parentId: CallId): void {
 		this.openCalls.delete(callId)
-		const above = this.openCalls.get(parent)
-		if (above) above.box.handle({ kind: 'relay-failed', callId: parent, notRun: false })
+		const parentCall = this.openCalls.get(parentId)
+		if (parentCall) parentCall.box.handle({ kind: 'relay-failed', callId: parentId, notRun: false })
 	}
 
 	private send(request: SimRequest): void {
 		const { random, queue } = this.simulation
-		const up = this.simulation.boxes.filter((box) => box.isUp())
-		if (up.length === 0) {
+		const upBoxes = this.simulation.boxes.filter((box) => box.isUp())
+		if (upBoxes.length === 0) {
 			queue.schedule(500, () => this.send(request))
 			return
 		}
 		request.callCount++
 		request.openCallCount++
-		const box = random.pick(up)
+		const box = random.pick(upBoxes)
 		const callId = brandId<CallId>(`c${this.nextCallNumber++}`)
 		this.openCalls.set(callId, { request, box, id: undefined })
 		queue.schedule(1, () => {
 			box.handle({ kind: 'request', request: this.requestEvent(request, callId, 0, undefined) })
 		})
-		const impatient = this.simulation.options.injectFaults && random.chance(0.1)
-		const patience = impatient ? random.integerBetween(50, 1000) : 15_000
-		queue.schedule(patience, () => this.disconnect(callId, box))
-		// Some callers ask again before the first try has ended.
+		const disconnectsEarly = this.simulation.options.injectFaults && random.chance(0.1)
+		const disconnectAfterMs = disconnectsEarly ? random.integerBetween(50, 1000) : 15_000
+		queue.schedule(disconnectAfterMs, () => this.disconnect(callId, box))
+		// Some callers retry before the first call has ended.
 		if (random.chance(0.1) && request.callCount < MAX_CALLS_PER_REQUEST)
 			queue.schedule(random.integerBetween(1, 1500), () => this.send(request))
 	}
 
 	private disconnect(callId: CallId, box: SimBox): void {
-		const open = this.openCalls.get(callId)
-		if (!open) return
-		this.closeCall(callId, open, 'unknown')
+		const call = this.openCalls.get(callId)
+		if (!call) return
+		this.closeCall(callId, call, 'unknown')
 		box.handle({ kind: 'caller-gone', callId })
 	}
 
@@ -224,13 +233,13 @@
 		hops: number,
 		account: AccountName | undefined,
 	) {
-		const { key, isModel: model, repeatable, budget } = request
+		const { key, isModel, repeatable, budget } = request
 		return {
 			callId,
 			...(account === undefined ? { keyHash: `key-${request.account}` } : { account }),
 			idempotencyKey: key,
 			bodyHash: key,
-			work: model
+			work: isModel
 				? ({
 						kind: 'model',
 						model: 'm',
@@ -246,9 +255,9 @@
 		}
 	}
 
-	private closeCall(callId: CallId, open: OpenCall, run: RunState): void {
+	private closeCall(callId: CallId, call: OpenCall, run: RunState): void {
 		this.openCalls.delete(callId)
-		const { request } = open
+		const { request } = call
 		request.openCallCount--
 		if (run === 'no') this.checkNotRun(request)
 		else request.allCallsRefusedNotRun = false
@@ -262,7 +271,7 @@
 		)
 	}
 
-	/** Whoever was only ever told "not run" can rely on it. */
+	/** Checks that a request whose calls were all refused as not run did not run. */
 	private checkNotRun(request: SimRequest): void {
 		if (!request.allCallsRefusedNotRun || request.openCallCount > 0) return
 		const id = brandId<RequestId>(`${request.account}/${request.key}`)
@@ -271,6 +280,6 @@
 }
 
 function parentCallId(callId: CallId): CallId | undefined {
-	const at = callId.lastIndexOf('>')
-	return at < 0 ? undefined : brandId<CallId>(callId.slice(0, at))
+	const separatorIndex = callId.lastIndexOf('>')
+	return separatorIndex < 0 ? undefined : brandId<CallId>(callId.slice(0, separatorIndex))
 }
--- a/internal/soak/src/lib/EventQueue.ts
+++ b/internal/soak/src/lib/EventQueue.ts
@@ -4,48 +4,49 @@
 	readonly run: () => void
 }
 
-/** Events in virtual time, in order of time and then of being added. A binary heap. */
+/** Queue of events in virtual time: a binary heap ordered by time, then by insertion. */
 export class EventQueue {
+	/** Current virtual time, in ms. */
 	now = 0
 	private readonly heap: ScheduledEvent[] = []
 	private nextSequence = 0
 
-	/** Runs something after a delay, in ms. */
-	schedule(delay: number, run: () => void): void {
-		const entry = { time: this.now + Math.max(0, delay), sequence: this.nextSequence++, run }
-		let at = this.heap.push(entry) - 1
-		while (at > 0) {
-			const parent = (at - 1) >> 1
-			if (!isBefore(entry, this.heap[parent] as ScheduledEvent)) break
-			this.heap[at] = this.heap[parent] as ScheduledEvent
-			at = parent
+	/** Schedules a callback after a delay. */
+	schedule(delayMs: number, run: () => void): void {
+		const event = { time: this.now + Math.max(0, delayMs), sequence: this.nextSequence++, run }
+		let index = this.heap.push(event) - 1
+		while (index > 0) {
+			const parent = (index - 1) >> 1
+			if (!isBefore(event, this.heap[parent] as ScheduledEvent)) break
+			this.heap[index] = this.heap[parent] as ScheduledEvent
+			index = parent
 		}
-		this.heap[at] = entry
+		this.heap[index] = event
 	}
 
-	/** Runs the next event; false where there is none up to the given time. */
+	/** Runs the next event that is due by the given time. Returns false if there is none. */
 	runNext(until: number): boolean {
 		const first = this.heap[0]
 		if (!first || first.time > until) return false
-		const last = this.heap.pop() as ScheduledEvent
-		if (this.heap.length > 0) this.siftDown(last)
+		const lastEvent = this.heap.pop() as ScheduledEvent
+		if (this.heap.length > 0) this.siftDown(lastEvent)
 		this.now = first.time
 		first.run()
 		return true
 	}
 
-	private siftDown(entry: ScheduledEvent): void {
-		let at = 0
+	private siftDown(event: ScheduledEvent): void {
+		let index = 0
 		for (;;) {
-			let child = 2 * at + 1
+			let child = 2 * index + 1
 			if (child >= this.heap.length) break
 			const right = this.heap[child + 1]
 			if (right && isBefore(right, this.heap[child] as ScheduledEvent)) child++
-			if (!isBefore(this.heap[child] as ScheduledEvent, entry)) break
-			this.heap[at] = this.heap[child] as ScheduledEvent
-			at = child
+			if (!isBefore(this.heap[child] as ScheduledEvent, event)) break
+			this.heap[index] = this.heap[child] as ScheduledEvent
+			index = child
 		}
-		this.heap[at] = entry
+		this.heap[index] = event
 	}
 }
 
--- a/internal/soak/src/lib/FakeTarget.ts
+++ b/internal/soak/src/lib/FakeTarget.ts
@@ -2,12 +2,12 @@
 import type { EventQueue } from './EventQueue.js'
 import type { Random } from './Random.js'
 
-/** Input tokens of every request of a run. */
+/** Input tokens of each simulated request. */
 export const INPUT_TOKENS = 10
-/** Largest answer of a run, in tokens. */
+/** Maximum length of an answer, in tokens. */
 export const MAX_OUTPUT_TOKENS = 40
 
-/** Tokens that a request's answer has: the same wherever it runs. */
+/** Length of a request's answer in tokens, the same at every target. */
 export function outputTokensOf(id: RequestId): number {
 	return 1 + (fnv1a(id) % MAX_OUTPUT_TOKENS)
 }
@@ -17,7 +17,7 @@
 	cancelled: boolean
 }
 
-/** A target in virtual time. It keeps its runs when a router dies, and counts them. */
+/** Simulated target. It counts the runs of each request and keeps them when a router stops. */
 export class FakeTarget {
 	readonly runCounts = new Map<RequestId, number>()
 	private readonly runsById = new Map<RequestId, TargetRun>()
@@ -29,12 +29,12 @@
 		private readonly injectFaults: boolean,
 	) {}
 
-	/** Starts a run, or resumes one; the outcome comes later. */
+	/** Starts or resumes a run and passes its outcome to `done`, at once or later. */
 	start(id: RequestId, resume: boolean, done: (outcome: AttemptOutcome) => void): void {
-		const known = this.runsById.get(id)
+		const existing = this.runsById.get(id)
 		if (resume) {
-			if (!known || known.cancelled) done({ kind: 'rejected', status: 404 })
-			else this.finish(id, known, done)
+			if (!existing || existing.cancelled) done({ kind: 'rejected', status: 404 })
+			else this.finish(id, existing, done)
 			return
 		}
 		if (this.injectFaults && this.random.chance(0.03)) {
--- a/internal/soak/src/lib/FaultInjector.ts
+++ b/internal/soak/src/lib/FaultInjector.ts
@@ -5,72 +5,75 @@
 const PLATFORM_TIMEOUT_MS = 1_000
 const NO_ANSWER: PlatformResult = { kind: 'no-answer' }
 
-/** Seeded faults of boxes, network and platform. */
+/** Injects seeded faults of boxes, the network and the platform. */
 export class FaultInjector {
 	private hasPlatformOutage = false
 	private isLossy = false
-	private readonly partitioned = new Set<string>()
+	/** Names of the zones and boxes that are partitioned from the network. */
+	private readonly isolated = new Set<string>()
 
 	constructor(private readonly simulation: Simulation) {}
 
-	/** Plans faults over a span of virtual time. */
-	scheduleFaults(spanMs: number): void {
+	/** Schedules random faults over a period of virtual time. */
+	scheduleFaults(durationMs: number): void {
 		const { random, queue } = this.simulation
 		const count = random.integerBetween(2, 7)
 		for (let i = 0; i < count; i++)
-			queue.schedule(random.next() * spanMs, () => this.injectRandomFault())
+			queue.schedule(random.next() * durationMs, () => this.injectRandomFault())
 	}
 
-	/** Ends all faults. */
+	/** Ends all faults and restarts stopped boxes. */
 	clearFaults(): void {
 		this.hasPlatformOutage = false
 		this.isLossy = false
-		this.partitioned.clear()
+		this.isolated.clear()
 		for (const box of this.simulation.boxes) {
 			box.resume()
 			if (!box.core) box.boot()
 		}
 	}
 
-	/** Cuts a zone or box off until {@link clearFaults}. */
+	/** Partitions a zone or box from the network until {@link clearFaults}. */
 	partition(name: string): void {
-		this.partitioned.add(name)
+		this.isolated.add(name)
 	}
 
-	/** Takes the platform down until {@link clearFaults}. */
+	/** Makes the platform unreachable until {@link clearFaults}. */
 	startPlatformOutage(): void {
 		this.hasPlatformOutage = true
 	}
 
 	isPlatformUnreachable(box: SimBox): boolean {
-		return (
-			this.hasPlatformOutage || this.partitioned.has(box.zone) || this.partitioned.has(box.name)
-		)
+		return this.hasPlatformOutage || this.isolated.has(box.zone) || this.isolated.has(box.name)
 	}
 
-	/** Delays of the copies of a message that arrive. */
+	/** Returns the delay in ms of each copy of a message that arrives. A lost message has none. */
 	deliveryDelays(from: SimBox, to: SimBox): number[] {
 		const { random } = this.simulation
 		if (from !== to && this.isPartitioned(from, to)) return []
 		const delay = random.integerBetween(1, 3)
 		if (!this.isLossy) return [delay]
 		if (random.chance(0.05)) return []
-		const late = random.chance(0.05) ? random.integerBetween(10, 2500) : delay
-		return random.chance(0.05) ? [late, random.integerBetween(1, 2500)] : [late]
+		const firstDelay = random.chance(0.05) ? random.integerBetween(10, 2500) : delay
+		return random.chance(0.05) ? [firstDelay, random.integerBetween(1, 2500)] : [firstDelay]
 	}
 
-	/** A platform call through outage, delay and the loss of answers. */
-	callPlatform(box: SimBox, born: number, action: Extract<CoreAction, { kind: 'platform' }>): void {
+	/** Performs a platform call, subject to outages, delays and lost answers. */
+	callPlatform(
+		box: SimBox,
+		incarnation: number,
+		action: Extract<CoreAction, { kind: 'platform' }>,
+	): void {
 		const { queue, random, store } = this.simulation
 		const { op, opId } = action
 		const reply = (result: PlatformResult): void => {
 			queue.schedule(random.integerBetween(1, 3), () =>
-				box.handle({ kind: 'platform', opId, result }, born),
+				box.handle({ kind: 'platform', opId, result }, incarnation),
 			)
 		}
 		const noAnswer = (): void => {
 			queue.schedule(PLATFORM_TIMEOUT_MS, () =>
-				box.handle({ kind: 'platform', opId, result: NO_ANSWER }, born),
+				box.handle({ kind: 'platform', opId, result: NO_ANSWER }, incarnation),
 			)
 		}
 		queue.schedule(random.integerBetween(1, 3), () => {
@@ -78,24 +81,24 @@
 				noAnswer()
 				return
 			}
-			const lost = this.isLossy && op.kind !== 'watch' && random.chance(0.1)
-			store.call(op, queue.now, (result) => (lost ? noAnswer() : reply(result)))
+			const isAnswerLost = this.isLossy && op.kind !== 'watch' && random.chance(0.1)
+			store.call(op, queue.now, (result) => (isAnswerLost ? noAnswer() : reply(result)))
 		})
 	}
 
 	private isPartitioned(from: SimBox, to: SimBox): boolean {
-		if (this.partitioned.has(from.name) || this.partitioned.has(to.name)) return true
+		if (this.isolated.has(from.name) || this.isolated.has(to.name)) return true
 		if (from.zone === to.zone) return false
-		return this.partitioned.has(from.zone) || this.partitioned.has(to.zone)
+		return this.isolated.has(from.zone) || this.isolated.has(to.zone)
 	}
 
 	private injectRandomFault(): void {
-		const { simulation: world } = this
-		const { random, queue } = world
-		const span = random.chance(0.3)
+		const { simulation } = this
+		const { random, queue } = simulation
+		const durationMs = random.chance(0.3)
 			? random.integerBetween(5_000, 25_000)
 			: random.integerBetween(100, 4_000)
-		const box = random.pick(world.boxes)
+		const box = random.pick(simulation.boxes)
 		switch (random.integerBetween(0, 8)) {
 			case 0:
 			case 1:
@@ -107,30 +110,30 @@
 			case 2:
 			case 3:
 				box.pause()
-				queue.schedule(span, () => box.resume())
+				queue.schedule(durationMs, () => box.resume())
 				return
 			case 4:
 				this.hasPlatformOutage = true
-				queue.schedule(span, () => (this.hasPlatformOutage = false))
+				queue.schedule(durationMs, () => (this.hasPlatformOutage = false))
 				return
 			case 5:
-				this.partitionFor(box.zone, span)
+				this.partitionFor(box.zone, durationMs)
 				return
 			case 6:
-				this.partitionFor(box.name, span)
+				this.partitionFor(box.name, durationMs)
 				return
 			case 7:
 				this.isLossy = true
-				queue.schedule(span, () => (this.isLossy = false))
+				queue.schedule(durationMs, () => (this.isLossy = false))
 				return
 			default:
-				world.acceptBundleVersion(world.bundle.version + 1)
+				simulation.acceptBundleVersion(simulation.bundle.version + 1)
 				if (random.chance(0.5)) box.handle({ kind: 'stop' })
 		}
 	}
 
-	private partitionFor(name: string, span: number): void {
-		this.partitioned.add(name)
-		this.simulation.queue.schedule(span, () => this.partitioned.delete(name))
+	private partitionFor(name: string, durationMs: number): void {
+		this.isolated.add(name)
+		this.simulation.queue.schedule(durationMs, () => this.isolated.delete(name))
 	}
 }
--- a/internal/soak/src/lib/SimBox.ts
+++ b/internal/soak/src/lib/SimBox.ts
@@ -12,12 +12,12 @@
 } from '@stallwing/core'
 import type { Simulation } from './Simulation.js'
 
-/** One box: its core, and what a pause holds back. */
+/** Simulated box: a router core and the events queued while the box is paused. */
 export class SimBox {
 	core: RouterCore | undefined
 	incarnation = 0
 	private paused = false
-	private heldEvents: { event: CoreEvent; born: number }[] = []
+	private heldEvents: { event: CoreEvent; incarnation: number }[] = []
 	private lastBundleVersion = 0
 
 	constructor(
@@ -35,7 +35,7 @@
 		return `${this.name}#${this.incarnation}`
 	}
 
-	/** Name of the present incarnation; names sort by age. */
+	/** Name of the current incarnation. Names sort in start order. */
 	incarnationName(): Incarnation {
 		return brandId<Incarnation>(String(this.incarnation).padStart(6, '0'))
 	}
@@ -44,8 +44,8 @@
 		return this.core !== undefined && !this.paused
 	}
 
-	/** Starts the box anew. */
-	boot(confession?: FinalCountersMessage): void {
+	/** Starts a new incarnation of the box. */
+	boot(finalCounters?: FinalCountersMessage): void {
 		this.incarnation++
 		this.lastBundleVersion = 0
 		const self = {
@@ -58,12 +58,12 @@
 		this.core = new RouterCore(self, () => this.simulation.random.next(), {
 			protections: this.protections,
 			throwOnViolation: true,
-			finalCounters: confession,
+			finalCounters,
 		})
 		this.scheduleTick(this.incarnation)
 	}
 
-	/** Kills the box: nothing of it is left. */
+	/** Kills the box and discards its state. */
 	kill(): void {
 		this.core = undefined
 		this.paused = false
@@ -71,50 +71,51 @@
 		this.simulation.callers.onBoxDown(this)
 	}
 
+	/** Pauses the box: it queues events until {@link resume}. */
 	pause(): void {
 		this.paused = true
 	}
 
-	/** Goes on after a pause: what came meanwhile is read in order, before any timer. */
+	/** Ends a pause. The core handles the queued events in order, before any timer. */
 	resume(): void {
 		if (!this.paused) return
 		this.paused = false
 		const held = this.heldEvents
 		this.heldEvents = []
-		for (const { event, born } of held) this.handle(event, born)
+		for (const { event, incarnation } of held) this.handle(event, incarnation)
 	}
 
-	/** Gives the core an event that was meant for one incarnation. */
-	handle(event: CoreEvent, born = this.incarnation): void {
-		if (!this.core || born !== this.incarnation) return
+	/** Passes an event to the core if the incarnation that it was sent to still runs. */
+	handle(event: CoreEvent, incarnation = this.incarnation): void {
+		if (!this.core || incarnation !== this.incarnation) return
 		if (this.paused) {
-			if (event.kind !== 'tick') this.heldEvents.push({ event, born })
+			if (event.kind !== 'tick') this.heldEvents.push({ event, incarnation })
 			return
 		}
-		const begun = this.simulation.onHandled ? performance.now() : 0
+		const startedAt = this.simulation.onHandled ? performance.now() : 0
 		const actions = this.core.handle(event, this.simulation.queue.now)
-		this.simulation.onHandled?.(this, event, performance.now() - begun)
+		this.simulation.onHandled?.(this, event, performance.now() - startedAt)
 		this.checkBundleVersion()
-		for (const action of actions) this.perform(action, born)
+		for (const action of actions) this.perform(action, incarnation)
 	}
 
-	private perform(action: CoreAction, born: number): void {
+	private perform(action: CoreAction, incarnation: number): void {
 		if (action.kind === 'restart') {
 			this.simulation.callers.onBoxDown(this)
 			this.boot(action.finalCounters)
 		} else if (action.kind === 'exit') this.kill()
-		else this.simulation.perform(this, born, action)
+		else this.simulation.perform(this, incarnation, action)
 	}
 
-	private scheduleTick(born: number): void {
+	private scheduleTick(incarnation: number): void {
 		this.simulation.queue.schedule(this.simulation.random.integerBetween(45, 55), () => {
-			if (born !== this.incarnation || !this.core) return
-			this.handle({ kind: 'tick' }, born)
-			this.scheduleTick(born)
+			if (incarnation !== this.incarnation || !this.core) return
+			this.handle({ kind: 'tick' }, incarnation)
+			this.scheduleTick(incarnation)
 		})
 	}
 
-	/** A bundle version in force never falls. */
+	/** Checks that the active bundle version never decreases. */
 	private checkBundleVersion(): void {
 		const version = this.core?.blackboard.config.index?.bundle.version ?? 0
 		if (version < this.lastBundleVersion)
--- a/internal/soak/src/lib/Simulation.ts
+++ b/internal/soak/src/lib/Simulation.ts
@@ -22,27 +22,27 @@
 import { Random } from './Random.js'
 import { SimBox } from './SimBox.js'
 
-/** Size and length of a run. */
+/** Options of a simulation. */
 export interface SimulationOptions {
 	readonly seed: number
 	readonly zones: number
 	readonly boxesPerZone: number
-	/** New requests while faults are shown. */
+	/** Number of requests sent while faults are injected. */
 	readonly requests: number
-	/** Virtual time over which requests come, in ms. */
+	/** Virtual time over which requests are sent, in ms. */
 	readonly durationMs: number
 	readonly protections: Protections
 	readonly injectFaults: boolean
 	/** Prepaid amount of each budget. */
 	readonly prepaid: number
 	readonly policy: Partial<Bundle['policy']>
-	/** Periods that differ from the default ones. */
+	/** Timing values that override the defaults. */
 	readonly timing: Partial<Timing>
-	/** Client accounts, each with a budget of its own. */
+	/** Number of client accounts, each with its own budget. */
 	readonly accounts: number
 }
 
-/** A few boxes, a minute of trouble. */
+/** Two zones of three boxes, with faults for one minute. */
 export const DEFAULT_SIMULATION_OPTIONS: SimulationOptions = {
 	seed: 1,
 	zones: 2,
@@ -57,7 +57,7 @@
 	accounts: 2,
 }
 
-/** A promise that did not hold in a run. */
+/** Thrown when an invariant does not hold in a simulation. */
 export class InvariantViolation extends Error {
 	readonly kind = 'promise-broken'
 	constructor(
@@ -73,7 +73,10 @@
 const SETTLE_DURATION_MS = 60_000
 const MODEL_PRICE = { inputWeight: 1, outputWeight: 2 }
 
-/** Many cores with one virtual clock, a fake platform, targets and callers, and seeded faults. */
+/**
+ * Deterministic simulation of many router cores in virtual time, with a fake platform, fake targets,
+ * simulated callers and seeded faults.
+ */
 export class Simulation {
 	readonly queue = new EventQueue()
 	readonly random: Random
@@ -85,13 +88,13 @@
 	readonly callers: Callers
 	readonly faults: FaultInjector
 	readonly options: SimulationOptions
-	/** Bills by request id, as the cores logged them. */
+	/** Billed amounts by request id, as the cores logged them. */
 	readonly billsByRequest = new Map<string, number[]>()
-	/** Told of each message between boxes; for measurements. */
+	/** Called with each message between boxes, for measurements. */
 	onSend: (from: SimBox, message: PeerMessage) => void = () => undefined
-	/** Told of the time that a core took for an event; for measurements. */
+	/** Called with the time in ms that a core took to handle an event, for measurements. */
 	onHandled: ((box: SimBox, event: CoreEvent, ms: number) => void) | undefined
-	/** Log lines, kept where asked for. */
+	/** Log lines, recorded only if this is set to an array. */
 	trace: string[] | undefined
 	bundle: Bundle
 
@@ -121,7 +124,7 @@
 		this.faults = new FaultInjector(this)
 	}
 
-	/** Starts all boxes and lets them find each other. */
+	/** Starts all boxes and gives them time to discover each other. */
 	start(): void {
 		this.acceptBundleVersion(1)
 		for (const box of this.boxes) box.boot()
@@ -129,54 +132,54 @@
 		this.runFor(8_000)
 	}
 
-	/** Runs the whole world; throws where a promise does not hold. */
+	/** Runs the whole simulation. Throws {@link InvariantViolation} if an invariant does not hold. */
 	run(): void {
 		this.start()
-		const { requests, durationMs: spanMs, injectFaults: faults } = this.options
+		const { requests, durationMs, injectFaults } = this.options
 		for (let i = 0; i < requests; i++)
-			this.queue.schedule(this.random.next() * spanMs, () => this.callers.sendNewRequest())
-		if (faults) this.faults.scheduleFaults(spanMs)
-		this.runFor(spanMs)
+			this.queue.schedule(this.random.next() * durationMs, () => this.callers.sendNewRequest())
+		if (injectFaults) this.faults.scheduleFaults(durationMs)
+		this.runFor(durationMs)
 		this.faults.clearFaults()
 		this.runFor(SETTLE_DURATION_MS)
 		checkInvariants(this)
 	}
 
-	/** Runs events for a span of virtual time. */
-	runFor(span: number): void {
-		const until = this.queue.now + span
+	/** Runs the events of a period of virtual time. */
+	runFor(durationMs: number): void {
+		const until = this.queue.now + durationMs
 		while (this.queue.runNext(until));
 		this.queue.now = until
 	}
 
-	/** Breaks the run off: a promise did not hold. */
-	fail(promise: string, facts: Readonly<Record<string, unknown>>): never {
-		throw new InvariantViolation(promise, facts, this.options.seed)
+	/** Ends the simulation by throwing {@link InvariantViolation}. */
+	fail(invariant: string, details: Readonly<Record<string, unknown>>): never {
+		throw new InvariantViolation(invariant, details, this.options.seed)
 	}
 
-	/** Runs of a request over all targets. */
+	/** Number of runs of a request over all targets. */
 	runCountOf(id: RequestId): number {
 		let sum = 0
 		for (const target of this.targets.values()) sum += target.runCounts.get(id) ?? 0
 		return sum
 	}
 
-	/** Puts a new version in force, by one write of the head. */
+	/** Activates a new bundle version with a single write of the head key. */
 	acceptBundleVersion(version: number): void {
 		this.bundle = this.makeBundle(version)
 		const key = 'bundles/head'
-		this.store.call({ kind: 'get', key }, this.queue.now, (found) => {
-			const expected = found.kind === 'value' ? found.revision : 0
+		this.store.call({ kind: 'get', key }, this.queue.now, (head) => {
+			const expected = head.kind === 'value' ? head.revision : 0
 			const op = { kind: 'cas', key, expected, value: { version } } as const
 			this.store.call(op, this.queue.now, () => undefined)
 		})
 	}
 
-	/** Carries out what a core asks. */
-	perform(box: SimBox, born: number, action: CoreAction): void {
+	/** Performs an action requested by a core. */
+	perform(box: SimBox, incarnation: number, action: CoreAction): void {
 		switch (action.kind) {
 			case 'platform':
-				this.faults.callPlatform(box, born, action)
+				this.faults.callPlatform(box, incarnation, action)
 				return
 			case 'send':
 				this.sendToPeer(box, action)
@@ -191,7 +194,7 @@
 				return
 			case 'attach':
 				this.callers.onAttached(action.callId, action.id)
-				// A finished run's answer goes to a late caller at once.
+				// A late caller gets the answer of a finished run at once.
 				if (box.core?.blackboard.requests.runs.get(action.id)?.stage === 'done')
 					this.callers.onAnswerComplete(box, action.id)
 				return
@@ -202,13 +205,13 @@
 				this.callers.onAnswerComplete(box, action.runId)
 				return
 			case 'start-attempt':
-				this.startAttempt(box, born, action)
+				this.startAttempt(box, incarnation, action)
 				return
 			case 'cancel-attempt':
-				this.cancelAttempt(box, born, action)
+				this.cancelAttempt(box, incarnation, action)
 				return
 			case 'fetch-bundle':
-				this.fetchBundle(box, born)
+				this.fetchBundle(box, incarnation)
 				return
 			case 'log':
 				this.recordLogEvent(box, action.event)
@@ -217,12 +220,12 @@
 		}
 	}
 
-	/** Delivers something from box to box, through the faults of the network. */
+	/** Delivers a message between boxes, subject to network faults. */
 	deliver(from: SimBox, to: SimBox, run: () => void): void {
 		for (const delay of this.faults.deliveryDelays(from, to)) this.queue.schedule(delay, run)
 	}
 
-	/** Delivers an answer back over a connection: in order, or not at all. */
+	/** Delivers an answer over an open connection, unless the sending box has stopped. */
 	deliverReply(from: SimBox, run: () => void): void {
 		this.queue.schedule(this.random.integerBetween(1, 3), () => {
 			if (from.core) run()
@@ -239,38 +242,40 @@
 
 	private startAttempt(
 		box: SimBox,
-		born: number,
+		incarnation: number,
 		action: Extract<CoreAction, { kind: 'start-attempt' }>,
 	): void {
 		const { runId, attempt } = action
 		const target = this.targets.get(action.target)
 		target?.start(runId, action.resume, (outcome) => {
-			const end = { kind: 'attempt-ended', runId, attempt, outcome } as const
-			this.queue.schedule(1, () => box.handle(end, born))
-			// A late, doubled word of the same attempt must change nothing.
+			const endedEvent = { kind: 'attempt-ended', runId, attempt, outcome } as const
+			this.queue.schedule(1, () => box.handle(endedEvent, incarnation))
+			// A late duplicate of the outcome must have no effect.
 			if (this.options.injectFaults && this.random.chance(0.05))
-				this.queue.schedule(this.random.integerBetween(1, 3000), () => box.handle(end, born))
+				this.queue.schedule(this.random.integerBetween(1, 3000), () =>
+					box.handle(endedEvent, incarnation),
+				)
 		})
 	}
 
 	private cancelAttempt(
 		box: SimBox,
-		born: number,
+		incarnation: number,
 		action: Extract<CoreAction, { kind: 'cancel-attempt' }>,
 	): void {
 		const { runId, attempt } = action
 		const name = box.core?.blackboard.requests.runs.get(runId)?.target
 		const target = name === undefined ? undefined : this.targets.get(name)
 		target?.cancel(runId, (outcome) => {
-			const end = { kind: 'attempt-ended', runId, attempt, outcome } as const
-			this.queue.schedule(2, () => box.handle(end, born))
+			const endedEvent = { kind: 'attempt-ended', runId, attempt, outcome } as const
+			this.queue.schedule(2, () => box.handle(endedEvent, incarnation))
 		})
 	}
 
-	private fetchBundle(box: SimBox, born: number): void {
+	private fetchBundle(box: SimBox, incarnation: number): void {
 		if (this.faults.isPlatformUnreachable(box)) return
 		const bundle = this.bundle
-		this.queue.schedule(5, () => box.handle({ kind: 'bundle', bundle }, born))
+		this.queue.schedule(5, () => box.handle({ kind: 'bundle', bundle }, incarnation))
 	}
 
 	private recordLogEvent(box: SimBox, event: Extract<CoreAction, { kind: 'log' }>['event']): void {
@@ -286,9 +291,11 @@
 		])
 	}
 
-	/** What a paused box has started must be covered by what its seal leaves in doubt. */
+	/** Checks that the amount in doubt covers all requests that the box is still running. */
 	private checkInDoubtAmount(fields: Readonly<Record<string, unknown>>): void {
-		const box = this.boxes.find((row) => `${row.name}#${row.incarnationName()}` === fields.entry)
+		const box = this.boxes.find(
+			(other) => `${other.name}#${other.incarnationName()}` === fields.entry,
+		)
 		if (!box?.core) return
 		let started = 0
 		for (const run of box.core.blackboard.requests.runs.values())
--- a/internal/soak/src/lib/checkInvariants.ts
+++ b/internal/soak/src/lib/checkInvariants.ts
@@ -10,89 +10,91 @@
 } from '@stallwing/core'
 import type { Simulation } from './Simulation.js'
 
-/** What one budget has paid, billed and in doubt. */
+/** Prepaid, billed and in-doubt amounts of a budget. */
 export interface BudgetTotals {
 	billed: number
 	inDoubt: number
 	prepaid: number
 }
 
-/** Checks the promises once everything has healed and come to rest. */
-export function checkInvariants(world: Simulation): void {
-	const sums = collectBudgetTotals(world)
-	for (const [budget, sum] of sums) {
-		if (sum.billed > sum.prepaid) world.fail('overspent', { budget, ...sum })
-		if (sum.billed + sum.inDoubt > sum.prepaid) world.fail('over-allotted', { budget, ...sum })
+/** Checks all invariants after faults have ended and the simulation has settled. */
+export function checkInvariants(simulation: Simulation): void {
+	const totals = collectBudgetTotals(simulation)
+	for (const [budget, total] of totals) {
+		if (total.billed > total.prepaid) simulation.fail('overspent', { budget, ...total })
+		if (total.billed + total.inDoubt > total.prepaid)
+			simulation.fail('over-allotted', { budget, ...total })
 	}
-	checkRuns(world)
-	checkBills(world, sums)
+	checkRuns(simulation)
+	checkBills(simulation, totals)
 }
 
-/** Adds up ledgers, shards and the bills that running boxes have not reported yet. */
-export function collectBudgetTotals(world: Simulation): Map<string, BudgetTotals> {
-	const sums = new Map<string, BudgetTotals>()
-	const shard = readStoreValue<BudgetShardValue>(world, shardKey(0))
+/** Sums ledgers, shards and the bills that running boxes have not reported yet. */
+export function collectBudgetTotals(simulation: Simulation): Map<string, BudgetTotals> {
+	const totals = new Map<string, BudgetTotals>()
+	const shard = readStoreValue<BudgetShardValue>(simulation, shardKey(0))
 	for (const [name, row] of Object.entries(shard?.budgets ?? {})) {
-		if (outstandingInShard(row) > row.prepaid) world.fail('over-allotted', { budget: name })
-		sums.set(name, { billed: 0, inDoubt: 0, prepaid: row.prepaid })
+		if (outstandingInShard(row) > row.prepaid) simulation.fail('over-allotted', { budget: name })
+		totals.set(name, { billed: 0, inDoubt: 0, prepaid: row.prepaid })
 	}
-	const live = billedByRunningBoxes(world)
-	for (const zone of world.zones) {
-		const ledger = readStoreValue<ZoneLedgerValue>(world, zoneKeys.ledger(zone, 0))
+	const runningBilled = billedByRunningBoxes(simulation)
+	for (const zone of simulation.zones) {
+		const ledger = readStoreValue<ZoneLedgerValue>(simulation, zoneKeys.ledger(zone, 0))
 		for (const [name, row] of Object.entries(ledger?.budgets ?? {})) {
-			const sum = sums.get(name)
-			if (!sum) continue
-			sum.billed += billedInZone(row)
-			sum.inDoubt += inDoubtInZone(row)
+			const total = totals.get(name)
+			if (!total) continue
+			total.billed += billedInZone(row)
+			total.inDoubt += inDoubtInZone(row)
 			for (const [key, entry] of Object.entries(row.entries))
-				sum.billed += Math.max(0, (live.get(`${key}/${name}`) ?? 0) - entry.billed)
+				total.billed += Math.max(0, (runningBilled.get(`${key}/${name}`) ?? 0) - entry.billed)
 		}
 	}
-	return sums
+	return totals
 }
 
-function readStoreValue<T>(world: Simulation, key: string): T | undefined {
-	return world.store.list(key).find((row) => row.key === key)?.value as T | undefined
+function readStoreValue<T>(simulation: Simulation, key: string): T | undefined {
+	return simulation.store.list(key).find((row) => row.key === key)?.value as T | undefined
 }
 
-/** Bills of the boxes that run, which the ledger may not have yet. */
-function billedByRunningBoxes(world: Simulation): Map<string, number> {
-	const live = new Map<string, number>()
-	for (const box of world.boxes) {
+/** Billed amounts of running boxes, which the ledger may not include yet. */
+function billedByRunningBoxes(simulation: Simulation): Map<string, number> {
+	const runningBilled = new Map<string, number>()
+	for (const box of simulation.boxes) {
 		const ledger = box.core?.blackboard.slices.ledger
 		if (!ledger) continue
 		const key = entryKey(box.name, box.incarnationName())
 		for (const budget of ledger.budgets())
-			live.set(`${key}/${budget}`, ledger.counters(budget).billed)
+			runningBilled.set(`${key}/${budget}`, ledger.counters(budget).billed)
 	}
-	return live
+	return runningBilled
 }
 
-/** A request that may not be repeated ran at most once. */
-function checkRuns(world: Simulation): void {
-	for (const target of world.targets.values())
+/** Checks that each non-repeatable request ran at most once. */
+function checkRuns(simulation: Simulation): void {
+	for (const target of simulation.targets.values())
 		for (const id of target.runCounts.keys()) {
-			const runs = world.runCountOf(id)
-			if (runs > 1 && world.callers.nonRepeatableIds.has(id)) world.fail('ran-twice', { id, runs })
+			const runs = simulation.runCountOf(id)
+			if (runs > 1 && simulation.callers.nonRepeatableIds.has(id))
+				simulation.fail('ran-twice', { id, runs })
 		}
 }
 
-/** Every answered request is billed once: neither lost nor doubled, within what is in doubt. */
-function checkBills(world: Simulation, sums: ReadonlyMap<string, BudgetTotals>): void {
-	const least = new Map<string, number>()
-	const most = new Map<string, number>()
-	for (const [id, budget] of world.callers.budgetByRequest) {
-		const charge = world.callers.chargeOf(id)
-		if (world.callers.answeredIds.has(id)) addTo(least, budget, charge)
-		const bills = world.billsByRequest.get(id)
-		if (bills) addTo(most, budget, Math.max(charge, ...bills))
+/** Checks that each answered request is billed exactly once, within the amount in doubt. */
+function checkBills(simulation: Simulation, totals: ReadonlyMap<string, BudgetTotals>): void {
+	const minBilled = new Map<string, number>()
+	const maxBilled = new Map<string, number>()
+	for (const [id, budget] of simulation.callers.budgetByRequest) {
+		const charge = simulation.callers.chargeOf(id)
+		if (simulation.callers.answeredIds.has(id)) addTo(minBilled, budget, charge)
+		const bills = simulation.billsByRequest.get(id)
+		if (bills) addTo(maxBilled, budget, Math.max(charge, ...bills))
 	}
-	for (const [budget, sum] of sums) {
-		const low = least.get(budget) ?? 0
-		const high = most.get(budget) ?? 0
-		if (sum.billed + sum.inDoubt < low)
-			world.fail('answered-but-not-billed', { budget, low, ...sum })
-		if (sum.billed > high) world.fail('billed-twice', { budget, high, ...sum })
+	for (const [budget, total] of totals) {
+		const low = minBilled.get(budget) ?? 0
+		const high = maxBilled.get(budget) ?? 0
+		if (total.billed + total.inDoubt < low)
+			simulation.fail('answered-but-not-billed', { budget, low, ...total })
+		if (total.billed > high) simulation.fail('billed-twice', { budget, high, ...total })
 	}
 }
 
--- a/internal/soak/src/lib/safetyProtections.ts
+++ b/internal/soak/src/lib/safetyProtections.ts
@@ -2,8 +2,8 @@
 import type { SimulationOptions } from './Simulation.js'
 
 /**
- * Protections whose absence must be noticed. Transfers and recall are not among them: they serve
- * availability, and without them nothing breaks, only more is refused.
+ * Protections without which an invariant is violated. Transfers and recall are excluded because they
+ * only improve availability: without them, more requests are refused.
  */
 export const SAFETY_PROTECTIONS: readonly (keyof Protections)[] = [
 	'claims',
@@ -15,15 +15,15 @@
 	'fencing',
 ]
 
-/** Counters reach the ledger sooner, so that a bill may get there before the witness has it. */
+/** Short enough for a bill to reach the ledger before a replica stores it. */
 const FAST_COUNTERS_PERIOD_MS = 1_000
 
-/** A world without one protection, of a shape in which its fault comes up often. */
+/** Options for a simulation without one protection in which the resulting fault is frequent. */
 export function optionsWithout(name: keyof Protections): Partial<SimulationOptions> {
 	const protections = { ...ALL_PROTECTIONS, [name]: false }
 	if (name === 'witnessedBills')
 		return { protections, timing: { countersPeriodMs: FAST_COUNTERS_PERIOD_MS } }
-	// A box without a witness takes all records with it.
+	// With one box per zone, no replica keeps the records of a stopped box.
 	if (name === 'forgotten') return { protections, boxesPerZone: 1 }
 	return { protections }
 }
--- a/internal/soak/src/main.ts
+++ b/internal/soak/src/main.ts
@@ -1,4 +1,4 @@
-/** Long randomised runs: `npm run soak -- --seed N --runs N [--steps N] [--trace]`. */
+/** Runs randomised simulations: `npm run soak -- --seed N --runs N [--steps N] [--trace]`. */
 import { parseArgs } from 'node:util'
 import { Simulation, type SimulationOptions } from './lib/Simulation.js'
 
@@ -14,34 +14,34 @@
 	},
 })
 
-const first = Number(values.seed)
+const firstSeed = Number(values.seed)
 const runs = Number(values.runs)
 const totals = { sent: 0, answered: 0, refused: 0, unknown: 0 }
 const failures: string[] = []
 
-for (let seed = first; seed < first + runs; seed++) {
-	const world = new Simulation(options(seed))
-	if (values.trace) world.trace = []
+for (let seed = firstSeed; seed < firstSeed + runs; seed++) {
+	const simulation = new Simulation(simulationOptions(seed))
+	if (values.trace) simulation.trace = []
 	try {
-		world.run()
+		simulation.run()
 	} catch (error) {
-		const text = error instanceof Error ? error.message : String(error)
-		failures.push(`seed ${seed}: ${text}`)
-		process.stdout.write(`FAILED seed ${seed}: ${text}\n`)
+		const message = error instanceof Error ? error.message : String(error)
+		failures.push(`seed ${seed}: ${message}`)
+		process.stdout.write(`FAILED seed ${seed}: ${message}\n`)
 		if (values.trace && error instanceof Error) process.stdout.write(`${error.stack}\n`)
 	}
-	for (const line of world.trace ?? []) process.stdout.write(`${line}\n`)
-	totals.sent += world.callers.stats.sent
-	totals.answered += world.callers.stats.answered
-	totals.refused += world.callers.stats.refused
-	totals.unknown += world.callers.stats.unknown
+	for (const line of simulation.trace ?? []) process.stdout.write(`${line}\n`)
+	totals.sent += simulation.callers.stats.sent
+	totals.answered += simulation.callers.stats.answered
+	totals.refused += simulation.callers.stats.refused
+	totals.unknown += simulation.callers.stats.unknown
 }
 process.stdout.write(
-	`${runs} seeds from ${first}, ${values.steps} requests each: ${JSON.stringify(totals)}, ${failures.length} failed\n`,
+	`${runs} seeds from ${firstSeed}, ${values.steps} requests each: ${JSON.stringify(totals)}, ${failures.length} failed\n`,
 )
 process.exitCode = failures.length > 0 ? 1 : 0
 
-function options(seed: number): Partial<SimulationOptions> {
+function simulationOptions(seed: number): Partial<SimulationOptions> {
 	return {
 		seed,
 		requests: Number(values.steps),
