--- a/internal/demo/src/lib/DemoFleet.ts
+++ b/internal/demo/src/lib/DemoFleet.ts
@@ -15,19 +15,19 @@
 const READY_TIMEOUT_MS = 20_000
 const READY_POLL_PERIOD_MS = 50
 
-/** Size of a fleet. */
+/** Options of a fleet. */
 export interface FleetOptions {
 	readonly zones: number
 	readonly routersPerZone: number
 	readonly enginesPerZone: number
 	readonly servicesPerZone: number
-	/** Cost model of the engines. */
+	/** Performance model of the engines. */
 	readonly engineModel: Partial<EngineModel>
-	/** Takes every log line of every router. */
+	/** Called with each log line of each router. */
 	readonly onLogLine: (line: string) => void
 }
 
-/** Two availability zones of two routers, two engines and one service each. */
+/** Two availability zones, each with two routers, two engines and one service. */
 export const DEFAULT_FLEET_OPTIONS: FleetOptions = {
 	zones: 2,
 	routersPerZone: 2,
@@ -37,7 +37,7 @@
 	onLogLine: () => undefined,
 }
 
-/** A router that runs. */
+/** A started router process. */
 export interface FleetRouter {
 	readonly box: string
 	readonly zone: string
@@ -47,7 +47,7 @@
 	readonly process: StartedProcess
 }
 
-/** A target that runs. */
+/** A started target process. */
 export interface FleetTarget extends DemoTarget {
 	readonly pid: number
 	readonly process: StartedProcess
@@ -59,13 +59,13 @@
 	readonly privateKeyFile: string
 }
 
-/** A whole fleet of real processes on the loopback address, with its stand-ins. */
+/** A fleet of router processes on the loopback address, with stand-ins for platform and targets. */
 export class DemoFleet {
 	readonly routers: FleetRouter[] = []
 	readonly targets: FleetTarget[] = []
 	readonly operatorConfigFile: string
 	platform = { url: '', pid: 0 }
-	/** The first bundle, as a document. */
+	/** The initial bundle, as a parsed document. */
 	bundle: unknown
 	private readonly processes = new ProcessGroup()
 	private readonly directory = mkdtempSync(join(tmpdir(), 'stallwing-demo-'))
@@ -77,7 +77,7 @@
 		this.operatorConfigFile = join(this.directory, 'author.jsonc')
 	}
 
-	/** Starts everything and accepts the bundle through the command line. */
+	/** Starts all processes and activates the initial bundle through the command line. */
 	async start(): Promise<void> {
 		const platform = await this.startStandin('platform', {})
 		this.platform = {
@@ -102,7 +102,7 @@
 		await this.waitUntilReady()
 	}
 
-	/** Path of a file in the folder of this fleet. */
+	/** Path of a file in the fleet's temporary directory. */
 	filePath(name: string): string {
 		return join(this.directory, name)
 	}
@@ -121,8 +121,8 @@
 	}
 
 	/**
-	 * Proposes and approves a version of the first bundle, with a change. Returns its hash, to be
-	 * accepted.
+	 * Proposes and approves a changed version of the initial bundle, but does not activate it. Returns
+	 * its hash.
 	 */
 	async approveBundleVersion(
 		version: number,
@@ -142,12 +142,12 @@
 		return this.processes.run([CLI_PROGRAM, '--operator-config', this.operatorConfigFile, ...args])
 	}
 
-	/** The command line of a stallwing command, for others to run. */
+	/** Returns the full command line of a stallwing command. */
 	commandLine(...args: string[]): string[] {
 		return [process.execPath, CLI_PROGRAM, '--operator-config', this.operatorConfigFile, ...args]
 	}
 
-	/** Starts a router process; a box name that ran before is a new incarnation. */
+	/** Starts a router process. A box name that was used before gets a new incarnation. */
 	async startRouter(box: string, zone: string): Promise<FleetRouter> {
 		const file = join(this.directory, `${box}.jsonc`)
 		const settings = {
@@ -164,30 +164,30 @@
 		return { box, zone, url: callers, adminUrl: admin, pid: process.child.pid ?? 0, process }
 	}
 
-	/** Starts a box anew in place of a router that has ended, and waits until it is ready. */
-	async replaceRouter(old: FleetRouter): Promise<void> {
-		const fresh = await this.startRouter(old.box, old.zone)
-		this.routers.splice(this.routers.indexOf(old), 1, fresh)
+	/** Restarts the box of a router that has exited, and waits until it is ready. */
+	async replaceRouter(exited: FleetRouter): Promise<void> {
+		const replacement = await this.startRouter(exited.box, exited.zone)
+		this.routers.splice(this.routers.indexOf(exited), 1, replacement)
 		this.writeOperatorConfigs()
 		await this.waitUntilReady()
 	}
 
-	/** Waits until every router that runs is ready. */
+	/** Waits until every running router is ready. Throws {@link FleetNotReady} after a timeout. */
 	async waitUntilReady(): Promise<void> {
-		const until = Date.now() + READY_TIMEOUT_MS
+		const deadline = Date.now() + READY_TIMEOUT_MS
 		for (const router of this.routers) {
 			if (router.process.child.exitCode !== null || router.process.child.signalCode) continue
 			while (!(await isReady(router.url))) {
-				if (Date.now() > until) throw new FleetNotReady(router.box)
+				if (Date.now() > deadline) throw new FleetNotReady(router.box)
 				await new Promise((resolve) => setTimeout(resolve, READY_POLL_PERIOD_MS))
 			}
 		}
 	}
 
-	/** Ends all processes, the routers first, and removes the files. */
+	/** Stops all processes, routers first, and removes the temporary directory. */
 	async stop(): Promise<void> {
-		const running = this.routers.map((router) => router.process)
-		await this.processes.stop(running.filter((started) => started.child.exitCode === null))
+		const routerProcesses = this.routers.map((router) => router.process)
+		await this.processes.stop(routerProcesses.filter((started) => started.child.exitCode === null))
 		await this.processes.stopAll()
 		rmSync(this.directory, { recursive: true, force: true })
 	}
@@ -219,18 +219,18 @@
 	}
 
 	private async addOperator(name: string): Promise<void> {
-		const file = join(this.directory, `${name}.pem`)
-		const made = await this.processes.run([CLI_PROGRAM, 'operator', 'key', name, file])
-		const { publicKey } = JSON.parse(made.out) as { publicKey: string }
-		this.operators.push({ name, publicKey, privateKeyFile: file })
+		const privateKeyFile = join(this.directory, `${name}.pem`)
+		const created = await this.processes.run([CLI_PROGRAM, 'operator', 'key', name, privateKeyFile])
+		const { publicKey } = JSON.parse(created.out) as { publicKey: string }
+		this.operators.push({ name, publicKey, privateKeyFile })
 	}
 
 	private writeOperatorConfigs(): void {
 		const operators = this.operators.map(({ name, publicKey }) => ({ name, publicKey }))
-		for (const { name, privateKeyFile: file } of this.operators) {
+		for (const { name, privateKeyFile } of this.operators) {
 			const config = {
 				platform: this.platform.url,
-				operator: { name, privateKeyFile: file },
+				operator: { name, privateKeyFile },
 				operators,
 				routers: this.routers.map((router) => router.adminUrl),
 			}
@@ -253,7 +253,7 @@
 	}
 }
 
-/** Parts of the demo's bundle that tests change. */
+/** Parts of the demo bundle that tests modify. */
 export interface DemoBundle {
 	targets: { name: string; leaving?: boolean }[]
 	budgets: { name: string; prepaid: number }[]
@@ -263,7 +263,7 @@
 	return undefined
 }
 
-/** Engines of the demo answer fast, so that it ends soon. */
+/** Fast engines keep the demo short. */
 const DEFAULT_ENGINE_MODEL: EngineModel = {
 	batchLimit: 32,
 	stepMs: 4,
@@ -278,7 +278,7 @@
 	return reply.ok
 }
 
-/** A router that did not become ready in time. */
+/** Thrown when a router is not ready in time. */
 export class FleetNotReady extends Error {
 	readonly kind = 'fleet-not-ready'
 	constructor(readonly box: string) {
@@ -286,7 +286,7 @@
 	}
 }
 
-/** A stallwing command that failed. */
+/** Thrown when a stallwing command fails. */
 export class CommandFailed extends Error {
 	readonly kind = 'command-failed'
 	constructor(command: string, message: string) {
@@ -294,7 +294,7 @@
 	}
 }
 
-/** What the ready file of `npm run demo -- --stay` holds. */
+/** Document that `npm run demo -- --stay` writes when the fleet is ready. */
 export function readyDocument(fleet: DemoFleet): Record<string, unknown> {
 	return {
 		routers: fleet.routers.map(({ box, zone, url, pid }) => ({ box, zone, url, pid })),
--- a/internal/demo/src/lib/ProcessGroup.ts
+++ b/internal/demo/src/lib/ProcessGroup.ts
@@ -4,15 +4,15 @@
 const READY_TIMEOUT_MS = 20_000
 const KILL_TIMEOUT_MS = 35_000
 
-/** A process that a script started. */
+/** A child process that has reported that it is ready. */
 export interface StartedProcess {
 	readonly child: ChildProcess
-	/** First JSON line that it printed. */
+	/** First JSON line that the process printed. */
 	readonly readyMessage: Record<string, unknown>
 	readonly exited: Promise<number | null>
 }
 
-/** Starts processes for a script, and ends just those. A stallwing process starts none itself. */
+/** Starts child processes and stops only those. Stallwing processes have no children of their own. */
 export class ProcessGroup {
 	private readonly running = new Set<StartedProcess>()
 
@@ -28,14 +28,14 @@
 		const failed = exited.then((code) => {
 			throw new ProcessFailed(args.join(' '), code)
 		})
-		const first = await Promise.race([ready, failed])
-		const entry: StartedProcess = { child, readyMessage: first, exited }
-		this.running.add(entry)
-		void exited.then(() => this.running.delete(entry))
-		return entry
+		const readyMessage = await Promise.race([ready, failed])
+		const startedProcess: StartedProcess = { child, readyMessage, exited }
+		this.running.add(startedProcess)
+		void exited.then(() => this.running.delete(startedProcess))
+		return startedProcess
 	}
 
-	/** Runs a Node program to its end; returns what it printed. */
+	/** Runs a Node program until it exits, and returns its exit code and output. */
 	async run(args: readonly string[]): Promise<{ code: number | null; out: string; err: string }> {
 		const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'pipe'] })
 		let out = ''
@@ -46,21 +46,21 @@
 		return { code, out, err }
 	}
 
-	/** Asks every process that was started and still runs to end, and waits until all have. */
+	/** Stops all running processes and waits until they have exited. */
 	stopAll(): Promise<void> {
 		return this.stop([...this.running])
 	}
 
-	/** Asks processes to end, and waits until they have. */
-	async stop(all: readonly StartedProcess[]): Promise<void> {
-		for (const entry of all) {
-			entry.child.kill('SIGCONT')
-			entry.child.kill('SIGTERM')
+	/** Sends SIGTERM and waits until the processes have exited. Sends SIGKILL after a timeout. */
+	async stop(processes: readonly StartedProcess[]): Promise<void> {
+		for (const startedProcess of processes) {
+			startedProcess.child.kill('SIGCONT')
+			startedProcess.child.kill('SIGTERM')
 		}
 		const timer = setTimeout(() => {
-			for (const entry of all) entry.child.kill('SIGKILL')
+			for (const startedProcess of processes) startedProcess.child.kill('SIGKILL')
 		}, KILL_TIMEOUT_MS)
-		await Promise.all(all.map((entry) => entry.exited))
+		await Promise.all(processes.map((startedProcess) => startedProcess.exited))
 		clearTimeout(timer)
 	}
 
@@ -71,14 +71,14 @@
 	): Promise<Record<string, unknown>> {
 		return new Promise((resolve, reject) => {
 			const timer = setTimeout(
-				() => reject(new ProcessFailed('no first line', null)),
+				() => reject(new ProcessFailed('process without a ready message', null)),
 				READY_TIMEOUT_MS,
 			)
-			for (const name of ['stdout', 'stderr'] as const) {
-				const stream = child[name]
+			for (const streamName of ['stdout', 'stderr'] as const) {
+				const stream = child[streamName]
 				if (!stream) continue
 				createInterface({ input: stream }).on('line', (line) => {
-					if (name === readyOn && line.startsWith('{')) {
+					if (streamName === readyOn && line.startsWith('{')) {
 						clearTimeout(timer)
 						resolve(JSON.parse(line) as Record<string, unknown>)
 					}
@@ -89,13 +89,13 @@
 	}
 }
 
-/** A process that ended before it was ready. */
+/** Thrown when a process exits or times out before it is ready. */
 export class ProcessFailed extends Error {
 	readonly kind = 'process-failed'
 	constructor(
 		readonly command: string,
 		readonly exitCode: number | null,
 	) {
-		super(`${command} ended with ${String(exitCode)} before it was ready`)
+		super(`${command} exited with code ${String(exitCode)} before it was ready`)
 	}
 }
--- a/internal/demo/src/lib/demoBundle.ts
+++ b/internal/demo/src/lib/demoBundle.ts
@@ -1,6 +1,6 @@
 import { hashKey } from '@stallwing/router'
 
-/** A caller of the demo. */
+/** A client account of the demo, with its API key and budget. */
 export interface DemoAccount {
 	readonly name: string
 	readonly key: string
@@ -8,7 +8,7 @@
 	readonly prepaid: number
 }
 
-/** Client accounts like the Heat Desk's. */
+/** Client accounts of the demo. */
 export const DEMO_ACCOUNTS: readonly DemoAccount[] = [
 	{ name: 'dispatch-desk', key: 'key-dispatch', budget: 'dispatch', prepaid: 400_000 },
 	{ name: 'billing-clerks', key: 'key-billing', budget: 'billing', prepaid: 200_000 },
@@ -23,7 +23,7 @@
 	readonly url: string
 }
 
-/** The demo's bundle, as the text of a file. */
+/** Returns the demo bundle as the text of a bundle file. */
 export function demoBundle(zones: readonly string[], targets: readonly DemoTarget[]): string {
 	const bundle = {
 		version: 1,
--- a/internal/demo/src/lib/demoRequests.ts
+++ b/internal/demo/src/lib/demoRequests.ts
@@ -1,7 +1,7 @@
 import type { DemoFleet } from './DemoFleet.js'
 import { DEMO_ACCOUNTS, type DemoAccount } from './demoBundle.js'
 
-/** One line of the demo's report. */
+/** Result of a demo request: one line of the report. */
 export interface DemoResult {
 	readonly label: string
 	readonly status: number
@@ -11,7 +11,7 @@
 	readonly summary: string
 }
 
-/** What a request of the demo sends. */
+/** A request of the demo. */
 export interface DemoCall {
 	readonly label: string
 	readonly account: DemoAccount
@@ -24,7 +24,7 @@
 	return { model: 'heat-small', stream, messages: [{ role: 'user', content }] }
 }
 
-/** A few requests of each kind. */
+/** Returns a few requests of each kind. */
 export function demoCalls(): DemoCall[] {
 	const [dispatch, billing, field] = DEMO_ACCOUNTS as [DemoAccount, DemoAccount, DemoAccount]
 	const path = '/v1/chat/completions'
@@ -104,13 +104,13 @@
 
 function summarizeBody(text: string): string {
 	if (text.startsWith('data:')) {
-		const whole = text.trimEnd().endsWith('data: [DONE]')
-		return `${text.split('\n\n').length - 1} events, ${whole ? 'whole' : 'broken'}`
+		const isComplete = text.trimEnd().endsWith('data: [DONE]')
+		return `${text.split('\n\n').length - 1} events, ${isComplete ? 'whole' : 'broken'}`
 	}
 	return text.length > 60 ? `${text.slice(0, 57)}...` : text
 }
 
-/** Sends each call to the next router in turn. */
+/** Sends the requests of the demo to the routers in turn. */
 export async function runDemoCalls(fleet: DemoFleet): Promise<DemoResult[]> {
 	const results: DemoResult[] = []
 	for (const [i, call] of demoCalls().entries()) {
--- a/internal/demo/src/lib/failures.test.ts
+++ b/internal/demo/src/lib/failures.test.ts
@@ -14,7 +14,7 @@
 	type Reply,
 } from './fleetTestHelpers.js'
 
-/** Kills, pauses and outages on real processes. */
+/** Tests of kills, pauses and outages with real processes. */
 
 const fleet = new DemoFleet({ zones: 1, routersPerZone: 3, engineModel: { stepMs: 25 } })
 const billing = DEMO_ACCOUNTS[1] as DemoAccount
@@ -28,7 +28,7 @@
 	})
 }
 
-/** Sends until the box that owns the key is known: it is the one that has the run. */
+/** Returns the router that chose a target for the request, and so owns the run. */
 async function findOwner(id: string): Promise<FleetRouter> {
 	for (const router of runningRouters()) {
 		const lines = (await (
@@ -36,34 +36,34 @@
 		).json()) as { name: string }[]
 		if (lines.some((line) => line.name === 'target-chosen')) return router
 	}
-	throw new Error(`nobody owns ${id}`)
+	throw new Error(`no router owns ${id}`)
 }
 
-/** Starts a stream and does something once some of it has come. */
+/** Sends a streamed request and calls `act` once the first events have arrived. */
 async function actDuringStream(
 	key: string,
 	url: string,
 	act: (id: string) => Promise<void>,
 ): Promise<Reply> {
-	let acted: Promise<void> | undefined
+	let action: Promise<void> | undefined
 	const reply = await sendRequest(url, {
 		account: billing,
 		headers: { 'idempotency-key': key },
 		onText: (text) => {
-			if (text.split('data:').length > 3) acted ??= act(`billing-clerks/${key}`)
+			if (text.split('data:').length > 3) action ??= act(`billing-clerks/${key}`)
 		},
 	})
-	await acted
+	await action
 	return reply
 }
 
 describe('failures of real processes', () => {
-	it('a router killed in the middle of a stream: the caller comes back, billed once', async () => {
+	it('completes the retry of a stream whose router was killed, and bills it once', async () => {
 		const before = (await fetchBudgets(fleet)).get('billing')?.billed ?? 0
-		let victim: FleetRouter | undefined
+		let killedRouter: FleetRouter | undefined
 		const first = await actDuringStream('killed-1', runningRouters()[0]?.url ?? '', async (id) => {
-			victim = await findOwner(id)
-			victim.process.child.kill('SIGKILL')
+			killedRouter = await findOwner(id)
+			killedRouter.process.child.kill('SIGKILL')
 		})
 		expect(isComplete(first)).toBe(false)
 		const call = { account: billing, headers: { 'idempotency-key': 'killed-1' } }
@@ -72,37 +72,37 @@
 		const after = (await fetchBudgets(fleet)).get('billing')
 		expect((after?.billed ?? 0) - before).toBe(chargeOf(reply))
 		expect((await fetchRunCounts(fleet)).get(reply.requestId)).toBe(1)
-		if (!victim) throw new Error('no router was killed')
-		await fleet.replaceRouter(victim)
+		if (!killedRouter) throw new Error('no router was killed')
+		await fleet.replaceRouter(killedRouter)
 	})
 
-	it('a router paused past its place in the view: starts anew, nothing ran twice', async () => {
+	it('restarts a router that was paused until its removal from the membership view, and runs nothing twice', async () => {
 		const before = (await fetchBudgets(fleet)).get('billing')?.billed ?? 0
-		const victim = runningRouters()[0] as FleetRouter
-		const incarnation = (await fetchStatus(victim)).incarnation
+		const pausedRouter = runningRouters()[0] as FleetRouter
+		const incarnation = (await fetchStatus(pausedRouter)).incarnation
 		const headers = { 'idempotency-key': 'paused-1', 'stallwing-repeat': 'never' }
-		victim.process.child.kill('SIGSTOP')
-		const others = runningRouters().filter((router) => router !== victim)
+		pausedRouter.process.child.kill('SIGSTOP')
+		const others = runningRouters().filter((router) => router !== pausedRouter)
 		const reply = await sendUntilComplete(() => others.map((router) => router.url), {
 			account: billing,
 			headers,
 		})
-		victim.process.child.kill('SIGCONT')
-		await waitUntil('the paused box is a new incarnation and ready', async () => {
-			const status = await fetchStatus(victim)
+		pausedRouter.process.child.kill('SIGCONT')
+		await waitUntil('the paused box is ready as a new incarnation', async () => {
+			const status = await fetchStatus(pausedRouter)
 			return status.incarnation !== incarnation && status.ready === true
 		})
-		const second = await sendRequest(victim.url, { account: billing, headers })
+		const second = await sendRequest(pausedRouter.url, { account: billing, headers })
 		expect(second.text).toBe(reply.text)
 		expect((await fetchRunCounts(fleet)).get(reply.requestId)).toBe(1)
 		const after = (await fetchBudgets(fleet)).get('billing')?.billed ?? 0
 		expect(after - before).toBe(chargeOf(reply))
 	})
 
-	it('the platform down: requests run on the money in the zone, then all is settled', async () => {
+	it('runs requests on the allotment of the zone during a platform outage, and bills them afterwards', async () => {
 		const before = (await fetchBudgets(fleet)).get('billing')?.billed ?? 0
 		await setStandinFaults(fleet.platform.url, { outage: true })
-		await waitUntil('the outage is noticed', async () => {
+		await waitUntil('the router detects the outage', async () => {
 			return (await fetchStatus(runningRouters()[0] as FleetRouter)).platformUp === false
 		})
 		let charge = 0
@@ -112,7 +112,7 @@
 			charge += chargeOf(reply)
 		}
 		await setStandinFaults(fleet.platform.url, { outage: false, loseAnswers: 3 })
-		await waitUntil('the platform is back', async () => {
+		await waitUntil('the router reaches the platform again', async () => {
 			return (await fetchStatus(runningRouters()[0] as FleetRouter)).platformUp === true
 		})
 		expect(((await fetchBudgets(fleet)).get('billing')?.billed ?? 0) - before).toBe(charge)
--- a/internal/demo/src/lib/fleetTestHelpers.ts
+++ b/internal/demo/src/lib/fleetTestHelpers.ts
@@ -2,27 +2,27 @@
 import { DEMO_ACCOUNTS } from './demoBundle.js'
 import type { DemoFleet, FleetRouter, FleetTarget } from './DemoFleet.js'
 
-/** Requests and checks that the tests of real processes share. */
+/** Request and assertion helpers for tests with real processes. */
 
-/** A caller's answer: head and text, or that the connection broke. */
+/** Answer that a caller received, complete or cut off. */
 export interface Reply {
 	readonly status: number
 	readonly runState: string
 	readonly requestId: string
 	readonly retryAfter: string | null
 	readonly text: string
-	/** True where the connection was reset before the end. */
+	/** True if the connection failed before the end of the answer. */
 	readonly wasReset: boolean
 }
 
-/** What a test sends. */
+/** A request that a test sends. */
 export interface TestRequest {
 	readonly path?: string
 	readonly body?: string
 	readonly headers?: Readonly<Record<string, string>>
 	readonly account?: DemoAccount
 	readonly signal?: AbortSignal
-	/** Called with the text so far. */
+	/** Called with all text received so far. */
 	readonly onText?: (text: string) => void
 }
 
@@ -35,26 +35,26 @@
 	readonly inDoubt: number
 }
 
-/** A model request with a prompt of some length; longer prompts have longer answers up to 47. */
+/** Body of a chat request. The answer grows with the prompt, up to 47 tokens. */
 export function chatBody(content: string, stream = true): string {
 	return JSON.stringify({ model: 'heat-small', stream, messages: [{ role: 'user', content }] })
 }
 
-/** Sends a request and reads the answer to its end, whole or broken. */
-export async function sendRequest(url: string, call: TestRequest = {}): Promise<Reply> {
-	const account = call.account ?? (DEMO_ACCOUNTS[0] as DemoAccount)
+/** Sends a request and reads the answer until it ends or the connection fails. */
+export async function sendRequest(url: string, request: TestRequest = {}): Promise<Reply> {
+	const account = request.account ?? (DEMO_ACCOUNTS[0] as DemoAccount)
 	const headers = {
 		'content-type': 'application/json',
 		authorization: `Bearer ${account.key}`,
-		...call.headers,
+		...request.headers,
 	}
 	let reply: Response
 	try {
-		reply = await fetch(`${url}${call.path ?? '/v1/chat/completions'}`, {
+		reply = await fetch(`${url}${request.path ?? '/v1/chat/completions'}`, {
 			method: 'POST',
 			headers,
-			body: call.body ?? chatBody('x'.repeat(39)),
-			...(call.signal ? { signal: call.signal } : {}),
+			body: request.body ?? chatBody('x'.repeat(39)),
+			...(request.signal ? { signal: request.signal } : {}),
 		})
 	} catch {
 		return { status: 0, runState: '', requestId: '', retryAfter: null, text: '', wasReset: true }
@@ -69,7 +69,7 @@
 	try {
 		for await (const chunk of reply.body ?? []) {
 			text += Buffer.from(chunk as Uint8Array).toString()
-			call.onText?.(text)
+			request.onText?.(text)
 		}
 		return { ...head, text, wasReset: false }
 	} catch {
@@ -77,41 +77,42 @@
 	}
 }
 
-/** Sends again with the same key until there is a whole answer, as a patient caller does. */
+/** Retries a request with the same headers until a complete answer arrives. */
 export async function sendUntilComplete(
 	urls: () => readonly string[],
-	call: TestRequest,
-	tries = 60,
+	request: TestRequest,
+	maxAttempts = 60,
 ): Promise<Reply> {
-	let last: Reply | undefined
-	for (let i = 0; i < tries; i++) {
-		const list = urls()
-		last = await sendRequest(list[i % list.length] as string, call)
-		if (last.status === 200 && !last.wasReset) return last
+	let lastReply: Reply | undefined
+	for (let i = 0; i < maxAttempts; i++) {
+		const currentUrls = urls()
+		lastReply = await sendRequest(currentUrls[i % currentUrls.length] as string, request)
+		if (lastReply.status === 200 && !lastReply.wasReset) return lastReply
 		await sleep(250)
 	}
-	throw new Error(`no whole answer in ${tries} tries: ${JSON.stringify(last)}`)
+	throw new Error(`no complete answer in ${maxAttempts} attempts: ${JSON.stringify(lastReply)}`)
 }
 
-/** True where a stream has its final marker. */
+/** Returns true if a stream ends with its final marker. */
 export function isComplete(reply: Reply): boolean {
 	return reply.text.trimEnd().endsWith('data: [DONE]')
 }
 
-/** Runs of each request id over all targets. */
+/** Returns the number of runs of each request id over all targets. */
 export async function fetchRunCounts(fleet: DemoFleet): Promise<Map<string, number>> {
-	const sums = new Map<string, number>()
+	const runCounts = new Map<string, number>()
 	for (const target of fleet.targets) {
 		const runs = (await (await fetch(`${target.url}/standin/runs`)).json()) as Record<
 			string,
 			number
 		>
-		for (const [id, count] of Object.entries(runs)) sums.set(id, (sums.get(id) ?? 0) + count)
+		for (const [id, count] of Object.entries(runs))
+			runCounts.set(id, (runCounts.get(id) ?? 0) + count)
 	}
-	return sums
+	return runCounts
 }
 
-/** Sets faults of a stand-in. */
+/** Configures the faults that a stand-in injects. */
 export async function setStandinFaults(url: string, faults: object): Promise<void> {
 	const reply = await fetch(`${url}/standin/faults`, {
 		method: 'POST',
@@ -120,7 +121,7 @@
 	await reply.text()
 }
 
-/** Sets faults of all targets of a kind. */
+/** Configures the faults of all targets of a kind. */
 export async function setTargetFaults(
 	fleet: DemoFleet,
 	kind: FleetTarget['kind'],
@@ -130,33 +131,36 @@
 		if (target.kind === kind) await setStandinFaults(target.url, faults)
 }
 
-/** The budgets as the command line shows them. */
+/** Returns the budgets that `stallwing budget show` prints, by name. */
 export async function fetchBudgets(fleet: DemoFleet): Promise<Map<string, BudgetRow>> {
 	const { out } = await fleet.runCli('budget', 'show', '--json')
 	return new Map((JSON.parse(out) as BudgetRow[]).map((row) => [row.budget, row]))
 }
 
-/** A router's own status document. */
+/** Returns a router's status document. */
 export async function fetchStatus(router: FleetRouter): Promise<Record<string, unknown>> {
 	return (await (await fetch(`${router.adminUrl}/status`)).json()) as Record<string, unknown>
 }
 
-/** Charge of a whole chat answer of the demo's model, from its usage. */
+/** Computes the charge of a complete chat answer from its usage figures. */
 export function chargeOf(reply: Reply): number {
 	const match = /"prompt_tokens":(\d+),"completion_tokens":(\d+)/.exec(reply.text)
 	return Number(match?.[1]) + 3 * Number(match?.[2])
 }
 
-/** Waits for a time, in ms. */
+/** Waits for a number of milliseconds. */
 export function sleep(ms: number): Promise<void> {
 	return new Promise((resolve) => setTimeout(resolve, ms))
 }
 
-/** Waits until something holds; fails after a generous limit. */
-export async function waitUntil(what: string, holds: () => Promise<boolean>): Promise<void> {
+/** Waits until a condition holds. Throws after 400 checks, 100 ms apart. */
+export async function waitUntil(
+	description: string,
+	condition: () => Promise<boolean>,
+): Promise<void> {
 	for (let i = 0; i < 400; i++) {
-		if (await holds()) return
+		if (await condition()) return
 		await sleep(100)
 	}
-	throw new Error(`did not come about: ${what}`)
+	throw new Error(`condition not met in time: ${description}`)
 }
--- a/internal/demo/src/lib/operations.test.ts
+++ b/internal/demo/src/lib/operations.test.ts
@@ -12,7 +12,7 @@
 	type Reply,
 } from './fleetTestHelpers.js'
 
-/** Configuration, leaving targets and rolling restarts on real processes. */
+/** Tests of configuration, leaving targets and rolling restarts with real processes. */
 
 const fleet = new DemoFleet({ zones: 1 })
 
@@ -35,36 +35,36 @@
 }
 
 describe('configuration', () => {
-	it('of two racing operators one gets a conflict, and one version is in force', async () => {
-		const one = await fleet.approveBundleVersion(2, (bundle) => raisePrepaid(bundle, 0))
-		const two = await fleet.approveBundleVersion(2, (bundle) => raisePrepaid(bundle, 1))
+	it('activates one of two concurrent versions and reports a conflict for the other', async () => {
+		const firstHash = await fleet.approveBundleVersion(2, (bundle) => raisePrepaid(bundle, 0))
+		const secondHash = await fleet.approveBundleVersion(2, (bundle) => raisePrepaid(bundle, 1))
 		const results = await Promise.all([
-			fleet.runAs('author', 'bundle', 'accept', one),
-			fleet.runAs('approver', 'bundle', 'accept', two),
+			fleet.runAs('author', 'bundle', 'accept', firstHash),
+			fleet.runAs('approver', 'bundle', 'accept', secondHash),
 		])
 		expect(results.map((result) => result.code).sort()).toEqual([0, 4])
 		await waitUntilInForce(2)
 	})
 
-	it('refuses a bundle that its own author approves, and lists the faults of a bad one', async () => {
+	it('rejects approval by the author of a bundle, and lists the errors of an invalid bundle', async () => {
 		const file = fleet.filePath('same.jsonc')
 		writeFileSync(file, JSON.stringify({ ...(fleet.bundle as object), version: 3 }))
 		const hash = (await fleet.runAs('author', 'bundle', 'propose', file)).out.trim()
-		const own = await fleet.runAs('author', 'bundle', 'sign', hash)
-		expect(own.code).toBe(3)
-		expect(own.err).toContain('same-operator')
-		const bad = fleet.filePath('bad.jsonc')
+		const approval = await fleet.runAs('author', 'bundle', 'sign', hash)
+		expect(approval.code).toBe(3)
+		expect(approval.err).toContain('same-operator')
+		const invalidFile = fleet.filePath('bad.jsonc')
 		writeFileSync(
-			bad,
+			invalidFile,
 			'{ "version": 0,\n "zones": [],\n "targets": [], "accounts": [], "budgets": [] }',
 		)
-		const checked = await fleet.runAs('author', 'bundle', 'check', bad)
+		const checked = await fleet.runAs('author', 'bundle', 'check', invalidFile)
 		expect(checked.code).toBe(3)
 		expect(checked.err).toMatch(/bad.jsonc:1: version/)
 		expect(checked.err).toMatch(/bad.jsonc:2: zones/)
 	})
 
-	it('gives a leaving target no new work once the version is in force', async () => {
+	it('sends no requests to a leaving target once the version is active', async () => {
 		const engine = fleet.targets.find((target) => target.kind === 'engine')
 		const hash = await fleet.approveBundleVersion(3, (bundle) => {
 			const target = bundle.targets.find((row) => row.name === engine?.name)
@@ -79,11 +79,11 @@
 	})
 })
 
-describe('the list of the platform', () => {
-	it('gives a target that it calls leaving no new work', async () => {
+describe('target list of the platform', () => {
+	it('sends no requests to a target that the platform lists as leaving', async () => {
 		const engine = fleet.targets.findLast((target) => target.kind === 'engine')
 		const { name, zone, url } = engine ?? { name: '', zone: '', url: '' }
-		const list = (leaving: boolean) =>
+		const setLeaving = (leaving: boolean) =>
 			fetch(`${fleet.platform.url}/standin/boxes`, {
 				method: 'POST',
 				body: JSON.stringify([{ name, zone, leaving }]),
@@ -95,13 +95,16 @@
 				return targets.some((row) => row.target === name && row.leaving)
 			})
 		}
-		await list(true)
-		await waitUntil('every router knows', isLeaving)
+		await setLeaving(true)
+		await waitUntil('every router lists the target as leaving', isLeaving)
 		const before = await countRequestsRunAt(url)
 		for (let i = 0; i < 6; i++) await sendRequest(fleet.routers[i % 2]?.url ?? '')
 		expect(await countRequestsRunAt(url)).toBe(before)
-		await list(false)
-		await waitUntil('it is back', async () => !(await isLeaving()))
+		await setLeaving(false)
+		await waitUntil(
+			'a router no longer lists the target as leaving',
+			async () => !(await isLeaving()),
+		)
 	})
 })
 
@@ -111,34 +114,34 @@
 }
 
 describe('a rolling restart under load', () => {
-	it('cuts off nothing, loses nothing and bills each answer once', async () => {
+	it('completes every accepted request and bills each answer once', async () => {
 		const before = await fetchDispatchBilled()
-		let restarting = true
+		let isRestarting = true
 		const replies: Reply[] = []
 		const load = (async () => {
-			for (let i = 0; restarting; i++) {
+			for (let i = 0; isRestarting; i++) {
 				const ready = await findReadyRouters()
 				const router = ready[i % Math.max(1, ready.length)]
 				if (router) replies.push(await sendRequest(router.url))
 				await sleep(20)
 			}
 		})()
-		for (const old of [...fleet.routers]) {
-			old.process.child.kill('SIGTERM')
-			expect(await old.process.exited).toBe(0)
-			await fleet.replaceRouter(old)
+		for (const router of [...fleet.routers]) {
+			router.process.child.kill('SIGTERM')
+			expect(await router.process.exited).toBe(0)
+			await fleet.replaceRouter(router)
 		}
-		restarting = false
+		isRestarting = false
 		await load
 		for (const reply of replies) expect(reply.wasReset).toBe(false)
-		const whole = replies.filter((reply) => reply.status === 200)
-		for (const reply of whole) expect(isComplete(reply)).toBe(true)
+		const completed = replies.filter((reply) => reply.status === 200)
+		for (const reply of completed) expect(isComplete(reply)).toBe(true)
 		for (const reply of replies) if (reply.status !== 200) expect(reply.runState).toBe('no')
 		const runs = await fetchRunCounts(fleet)
-		for (const reply of whole) expect(runs.get(reply.requestId)).toBe(1)
-		expect(whole.length).toBeGreaterThan(replies.length / 2)
-		const charge = whole.reduce((sum, reply) => sum + chargeFromUsage(reply.text), 0)
-		expect((await fetchDispatchBilled()) - before).toBe(charge)
+		for (const reply of completed) expect(runs.get(reply.requestId)).toBe(1)
+		expect(completed.length).toBeGreaterThan(replies.length / 2)
+		const totalCharge = completed.reduce((sum, reply) => sum + chargeFromUsage(reply.text), 0)
+		expect((await fetchDispatchBilled()) - before).toBe(totalCharge)
 	})
 })
 
--- a/internal/demo/src/lib/requests.test.ts
+++ b/internal/demo/src/lib/requests.test.ts
@@ -12,7 +12,7 @@
 	setTargetFaults,
 } from './fleetTestHelpers.js'
 
-/** Bad input, bad targets and impatient callers, on real processes. */
+/** Tests of invalid requests, faulty targets and disconnecting callers with real processes. */
 
 const fleet = new DemoFleet({ zones: 1 })
 const field = DEMO_ACCOUNTS[2] as DemoAccount
@@ -25,7 +25,7 @@
 	return fleet.routers[i]?.url ?? ''
 }
 
-describe('requests', () => {
+describe('request handling', () => {
 	it.each([
 		['malformed JSON', { body: '{"model":' }, 400, 'malformed-request'],
 		['wrong types', { body: '{"model":7,"messages":"x"}' }, 400, 'malformed-request'],
@@ -40,7 +40,7 @@
 		['an unknown budget', { headers: { 'stallwing-budget': 'none' } }, 404, 'unknown-budget'],
 		['a bad bearer key', { headers: { authorization: 'Bearer no' } }, 401, 'bad-key'],
 		['a bad priority', { headers: { 'stallwing-priority': 'now' } }, 400, 'malformed-request'],
-	])('refuse %s as not run', async (_, call, status, type) => {
+	])('refuses %s as not run', async (_, call, status, type) => {
 		const before = (await fetchRunCounts(fleet)).size
 		const reply = await sendRequest(routerUrl(), call)
 		expect(reply.status).toBe(status)
@@ -49,29 +49,29 @@
 		expect((await fetchRunCounts(fleet)).size).toBe(before)
 	})
 
-	it('refuse a key that was used with another body', async () => {
+	it('refuses an idempotency key that was used with another body', async () => {
 		const headers = { 'idempotency-key': 'reused-1' }
 		expect((await sendRequest(routerUrl(0), { headers, body: chatBody('one') })).status).toBe(200)
 		const second = await sendRequest(routerUrl(1), { headers, body: chatBody('two') })
 		expect(second.status).toBe(409)
 	})
 
-	it('give two tries of one key the same answer, run and billed once', async () => {
+	it('gives concurrent and later calls with one key the same answer, run and billed once', async () => {
 		const headers = { 'idempotency-key': 'twice-1', ...NON_REPEATABLE_HEADERS }
 		const before = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
-		const tries = [0, 1, 0, 1].map((i) => sendRequest(routerUrl(i), { headers, account: field }))
-		const replies = await Promise.all(tries)
-		const late = await sendRequest(routerUrl(1), { headers, account: field })
-		for (const reply of [...replies, late]) {
+		const calls = [0, 1, 0, 1].map((i) => sendRequest(routerUrl(i), { headers, account: field }))
+		const replies = await Promise.all(calls)
+		const laterReply = await sendRequest(routerUrl(1), { headers, account: field })
+		for (const reply of [...replies, laterReply]) {
 			expect(reply.status).toBe(200)
-			expect(reply.text).toBe(late.text)
+			expect(reply.text).toBe(laterReply.text)
 		}
-		expect((await fetchRunCounts(fleet)).get(late.requestId)).toBe(1)
+		expect((await fetchRunCounts(fleet)).get(laterReply.requestId)).toBe(1)
 		const after = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
-		expect(after - before).toBe(chargeOf(late))
+		expect(after - before).toBe(chargeOf(laterReply))
 	})
 
-	it('cancel the run of a caller that hangs up, and bill what ran', async () => {
+	it('cancels the run of a caller that disconnects, and bills the tokens produced', async () => {
 		const abort = new AbortController()
 		const before = (await fetchBudgets(fleet)).get('field')?.billed ?? 0
 		const reply = await sendRequest(routerUrl(), {
@@ -90,7 +90,7 @@
 		expect(billed).toBeLessThan(14 + 3 * 47)
 	})
 
-	it('never end a broken stream as whole, and answer the next try whole', async () => {
+	it('does not mark a broken stream as complete, and answers the retry completely', async () => {
 		await setTargetFaults(fleet, 'engine', { closeEarly: 1 })
 		const headers = { 'idempotency-key': 'broken-1' }
 		const first = await sendRequest(routerUrl(), { headers })
@@ -101,7 +101,7 @@
 		expect(isComplete(second)).toBe(true)
 	})
 
-	it('try another time where a target answers rubbish, and give no rubbish out', async () => {
+	it('does not forward malformed output of a target', async () => {
 		await setTargetFaults(fleet, 'engine', { rubbish: 1 })
 		const reply = await sendRequest(routerUrl())
 		await setTargetFaults(fleet, 'engine', { rubbish: 0 })
@@ -109,7 +109,7 @@
 		expect([200, 502]).toContain(reply.status)
 	})
 
-	it('say unknown where a request that may not be repeated broke off', async () => {
+	it('reports an interrupted non-repeatable request as unknown', async () => {
 		await setTargetFaults(fleet, 'service', { closeEarly: 1 })
 		const headers = { 'idempotency-key': 'ack-broken', ...NON_REPEATABLE_HEADERS }
 		const first = await sendRequest(routerUrl(), {
@@ -127,14 +127,14 @@
 		expect((await fetchRunCounts(fleet)).get(first.requestId)).toBe(1)
 	})
 
-	it('pass a target over that did not take the request', async () => {
+	it('retries at another target when a target refuses a request', async () => {
 		await setTargetFaults(fleet, 'engine', { refuse: 1 })
 		const reply = await sendRequest(routerUrl())
 		await setTargetFaults(fleet, 'engine', { refuse: 0 })
 		expect(reply.status).toBe(200)
 	})
 
-	it('answer health, readiness and metrics', async () => {
+	it('serves health, readiness and metrics', async () => {
 		expect((await fetch(`${routerUrl()}/healthz`)).status).toBe(200)
 		expect((await fetch(`${routerUrl()}/readyz`)).status).toBe(200)
 		const text = await (await fetch(`${routerUrl()}/metrics`)).text()
@@ -142,10 +142,10 @@
 		expect(text).toContain('stallwing_peer_bytes_sent_total{kind=')
 	})
 
-	it('finish their streams in a planned stop, which exits with 0', async () => {
+	it('completes open streams on SIGTERM and exits with 0', async () => {
 		const router = fleet.routers[1]
 		if (!router) throw new Error('no second router')
-		// The stop comes once the first bytes have: a timer would race with a busy machine.
+		// Sends SIGTERM after the first bytes arrive. A timer would depend on the speed of the machine.
 		const reply = await sendRequest(router.url, {
 			onText: () => router.process.child.kill('SIGTERM'),
 		})
