--- a/internal/bench/src/capacity.ts
+++ b/internal/bench/src/capacity.ts
@@ -1,4 +1,7 @@
-/** Slopes of control cost in virtual time and of state in memory: `npm run bench:capacity`. */
+/**
+ * Measures how control cost in simulations and the size of state grow: `npm run bench:capacity`.
+ * Prints a linear fit for each quantity.
+ */
 import {
 	brandId,
 	emptyZoneLedger,
@@ -39,41 +42,41 @@
 measureLedgerSize()
 measureBoxHeap()
 
-/** Idle control by boxes in a zone. */
+/** Control cost without requests, by boxes per zone. */
 function measureByBoxesPerZone(): void {
-	printSection('idle, by boxes in a zone (1 zone)')
-	const rows = [2, 4, 8, 16].map((n): [number, ControlCost] => {
-		return [n, measureControlCost({ zones: 1, boxesPerZone: n, requests: 0 }, 0)]
+	printSection('idle, by boxes per zone (1 zone)')
+	const rows = [2, 4, 8, 16].map((boxes): [number, ControlCost] => {
+		return [boxes, measureControlCost({ zones: 1, boxesPerZone: boxes, requests: 0 }, 0)]
 	})
 	printControlCost(rows)
 }
 
-/** Control by requests a second and box. */
+/** Control cost by requests per second and box. */
 function measureByRequestRate(): void {
-	printSection('by requests a second and box (1 zone of 8 boxes, 40 accounts)')
+	printSection('by requests per second and box (1 zone of 8 boxes, 40 accounts)')
 	const rows = [2, 5, 10, 15].map((rate): [number, ControlCost] => {
 		const options = { zones: 1, boxesPerZone: 8, accounts: 40 }
 		return [rate, measureControlCost(options, rate * 8)]
 	})
 	printControlCost(rows)
-	for (const [rate, figures] of rows)
+	for (const [rate, cost] of rows)
 		print(
-			`  at ${rate}: answered ${(figures.answeredShare * PERCENT).toFixed(2)} %, bytes/s by kind ${JSON.stringify(figures.bytesByKind)}`,
+			`  at ${rate}: answered ${(cost.answeredShare * PERCENT).toFixed(2)} %, bytes/s by kind ${JSON.stringify(cost.bytesByKind)}`,
 		)
 }
 
-/** Control by budgets in use. */
+/** Control cost by number of budgets in use. */
 function measureByBudgetCount(): void {
-	printSection('by budgets in use (1 zone of 4 boxes, 20 requests a second)')
+	printSection('by budgets in use (1 zone of 4 boxes, 20 requests per second)')
 	const rows = [10, 40, 160, 640].map((accounts): [number, ControlCost] => {
 		return [accounts, measureControlCost({ zones: 1, boxesPerZone: 4, accounts }, 20)]
 	})
 	printControlCost(rows)
 }
 
-/** Platform calls by zones. */
+/** Control cost by number of zones. */
 function measureByZoneCount(): void {
-	printSection('by zones (2 boxes each, 40 accounts, 4 requests a second and zone)')
+	printSection('by zones (2 boxes each, 40 accounts, 4 requests per second and zone)')
 	const rows = [1, 2, 4, 8].map((zones): [number, ControlCost] => {
 		return [zones, measureControlCost({ zones, boxesPerZone: 2, accounts: 40 }, 4 * zones)]
 	})
@@ -81,46 +84,46 @@
 }
 
 function printControlCost(rows: readonly (readonly [number, ControlCost])[]): void {
-	const pick = (read: (figures: ControlCost) => number): Point[] => {
-		return rows.map(([x, figures]) => [x, read(figures)])
+	const pointsOf = (read: (cost: ControlCost) => number): Point[] => {
+		return rows.map(([x, cost]) => [x, read(cost)])
 	}
 	printFit(
-		'  messages sent a second and box',
-		pick((f) => f.messagesPerSecond),
+		'  messages sent per second and box',
+		pointsOf((cost) => cost.messagesPerSecond),
 	)
 	printFit(
-		'  bytes sent a second and box',
-		pick((f) => f.bytesPerSecond),
+		'  bytes sent per second and box',
+		pointsOf((cost) => cost.bytesPerSecond),
 	)
 	printFit(
-		'  bytes sent a second, keeper',
-		pick((f) => f.leaderBytesPerSecond),
+		'  bytes sent per second, zone leader',
+		pointsOf((cost) => cost.leaderBytesPerSecond),
 	)
 	printFit(
-		'  decisions, % of a core and box',
-		pick((f) => f.cpuShare * PERCENT),
+		'  core decisions, % of a CPU per box',
+		pointsOf((cost) => cost.cpuShare * PERCENT),
 	)
 	printFit(
-		'  decisions, % of a core, keeper',
-		pick((f) => f.leaderCpuShare * PERCENT),
+		'  core decisions, % of a CPU, zone leader',
+		pointsOf((cost) => cost.leaderCpuShare * PERCENT),
 	)
 	printFit(
-		'  platform reads a second',
-		pick((f) => f.readsPerSecond),
+		'  platform reads per second',
+		pointsOf((cost) => cost.readsPerSecond),
 	)
 	printFit(
-		'  platform writes a second',
-		pick((f) => f.writesPerSecond),
+		'  platform writes per second',
+		pointsOf((cost) => cost.writesPerSecond),
 	)
 	printFit(
-		'  platform watches a second',
-		pick((f) => f.watchesPerSecond),
+		'  platform watches per second',
+		pointsOf((cost) => cost.watchesPerSecond),
 	)
 }
 
-/** Size of a ledger value and time to copy and encode it, by budgets. */
+/** Size of a zone ledger value and time to copy and encode it, by number of budgets. */
 function measureLedgerSize(): void {
-	printSection('zone ledger value by budgets (16 boxes hold money of each)')
+	printSection('zone ledger value by budgets (16 boxes hold a slice of each)')
 	const sizes: Point[] = []
 	const times: Point[] = []
 	for (const budgets of [50, 100, 200, 400]) {
@@ -135,12 +138,12 @@
 
 function makeLedger(budgets: number, boxes: number): ZoneLedgerValue {
 	const value = emptyZoneLedger()
-	for (let b = 0; b < budgets; b++) {
-		const row = getOrCreateLedgerBudget(value, brandId<BudgetName>(`budget-${b}`))
+	for (let budget = 0; budget < budgets; budget++) {
+		const row = getOrCreateLedgerBudget(value, brandId<BudgetName>(`budget-${budget}`))
 		raiseAllotment(row, 100_000_000)
-		for (let i = 0; i < boxes; i++) {
+		for (let box = 0; box < boxes; box++) {
 			const incarnation = brandId<Incarnation>('0mx5ycai9x-5609e5')
-			const key = entryKey(brandId<BoxName>(`zone-a-box-${i}`), incarnation)
+			const key = entryKey(brandId<BoxName>(`zone-a-box-${box}`), incarnation)
 			grantToBox(row, key, 1_000_000)
 			raiseCounters(row, key, { granted: 0, returned: 0, billed: 123_456, sent: 0, received: 0 })
 		}
@@ -148,29 +151,29 @@
 	return value
 }
 
-function averageMs(work: () => unknown): number {
+function averageMs(run: () => unknown): number {
 	const rounds = 20
-	work()
-	const begun = performance.now()
-	for (let i = 0; i < rounds; i++) work()
-	return (performance.now() - begun) / rounds
+	run()
+	const startedAt = performance.now()
+	for (let i = 0; i < rounds; i++) run()
+	return (performance.now() - startedAt) / rounds
 }
 
-/** Heap of identity records and slices. */
+/** Heap use of idempotency records and budget slices. */
 function measureBoxHeap(): void {
 	printSection('heap of a box')
-	printFit('  bytes by identity records', measureHeapBytes([5_000, 20_000, 80_000], makeRecords))
+	printFit('  bytes by idempotency records', measureHeapBytes([5_000, 20_000, 80_000], makeRecords))
 	printFit('  bytes by slices', measureHeapBytes([1_000, 4_000, 16_000], makeSlices))
 }
 
-function measureHeapBytes(counts: readonly number[], make: (count: number) => unknown): Point[] {
+function measureHeapBytes(counts: readonly number[], create: (count: number) => unknown): Point[] {
 	return counts.map((count) => {
 		globalThis.gc?.()
 		const before = process.memoryUsage().heapUsed
-		const kept = make(count)
+		const retained = create(count)
 		globalThis.gc?.()
 		const bytes = process.memoryUsage().heapUsed - before
-		return [kept ? count : 0, bytes]
+		return [retained ? count : 0, bytes]
 	})
 }
 
--- a/internal/bench/src/config.ts
+++ b/internal/bench/src/config.ts
@@ -1,5 +1,5 @@
 /**
- * Time from the acceptance of a version until it is in force on every box, with eight real routers
+ * Measures how long an accepted bundle version takes to become active on all of eight router processes
  * in four zones: `npm run bench:config`.
  */
 import { DemoFleet, type FleetRouter } from '@stallwing/demo'
@@ -14,16 +14,18 @@
 	const histogram = build({ numberOfSignificantValueDigits: 3 })
 	for (let version = 2; version < VERSIONS + 2; version++) {
 		const hash = await fleet.approveBundleVersion(version)
-		const accepted = fleet.runAs('author', 'bundle', 'accept', hash)
-		// The command takes a while to start; the clock runs from the first router that has the version.
-		const times = await Promise.all(fleet.routers.map((router) => waitForVersion(router, version)))
-		await accepted
-		const first = Math.min(...times)
-		for (const time of times) histogram.recordValue(Math.round(time - first))
+		const acceptCommand = fleet.runAs('author', 'bundle', 'accept', hash)
+		// Measures from the first router with the version, because starting the command takes a while.
+		const activationTimes = await Promise.all(
+			fleet.routers.map((router) => waitForVersion(router, version)),
+		)
+		await acceptCommand
+		const firstActivation = Math.min(...activationTimes)
+		for (const time of activationTimes) histogram.recordValue(Math.round(time - firstActivation))
 	}
-	const at = (percentile: number): number => histogram.getValueAtPercentile(percentile)
+	const valueAt = (percentile: number): number => histogram.getValueAtPercentile(percentile)
 	process.stdout.write(
-		`${VERSIONS} versions, ${fleet.routers.length} routers, ms after the first router: p50 ${at(50)}, p99 ${at(99)}, most ${histogram.maxValue}\n`,
+		`${VERSIONS} versions, ${fleet.routers.length} routers, ms after the first router: p50 ${valueAt(50)}, p99 ${valueAt(99)}, max ${histogram.maxValue}\n`,
 	)
 } finally {
 	await fleet.stop()
--- a/internal/bench/src/control.ts
+++ b/internal/bench/src/control.ts
@@ -1,6 +1,6 @@
 /**
- * Control cost of real router processes, 8 to 32 of them in four zones: `npm run bench:control`.
- * Prints bytes, messages, processor time and memory of a box, idle and under a light load.
+ * Measures the control cost of 8 to 32 router processes in four zones: `npm run bench:control`. Prints
+ * bytes, messages, CPU time and memory per box, idle and under light load.
  */
 import { DEMO_ACCOUNTS, DemoFleet, sendRequest } from '@stallwing/demo'
 import { describeFit } from './lib/fitLine.js'
@@ -16,8 +16,8 @@
 
 type Point = readonly [number, number]
 
+/** Averages per box; platform calls are the sum over all boxes. */
 interface BoxCost {
-	/** Averages over boxes, per second. */
 	readonly bytesPerSecond: number
 	readonly messagesPerSecond: number
 	readonly cpuPercent: number
@@ -28,39 +28,39 @@
 
 const idleCosts: [number, BoxCost][] = []
 const loadedCosts: [number, BoxCost][] = []
-for (const size of ROUTER_COUNTS) {
+for (const routerCount of ROUTER_COUNTS) {
 	const fleet = new DemoFleet({
 		zones: ZONES,
-		routersPerZone: size / ZONES,
+		routersPerZone: routerCount / ZONES,
 		enginesPerZone: 1,
 		servicesPerZone: 1,
 	})
 	try {
 		await fleet.start()
 		await sleep(3_000)
-		idleCosts.push([size, await measure(fleet, IDLE_DURATION_MS)])
+		idleCosts.push([routerCount, await measure(fleet, IDLE_DURATION_MS)])
 		const load = sendLoad(fleet, LOAD_DURATION_MS)
-		loadedCosts.push([size, await measure(fleet, LOAD_DURATION_MS)])
+		loadedCosts.push([routerCount, await measure(fleet, LOAD_DURATION_MS)])
 		await load
 	} finally {
 		await fleet.stop()
 	}
 }
-report('idle, by routers (four zones)', idleCosts)
-report(`${REQUESTS_PER_SECOND} plain-service requests a second over all routers`, loadedCosts)
+printCosts('idle, by routers (four zones)', idleCosts)
+printCosts(`${REQUESTS_PER_SECOND} plain-service requests per second over all routers`, loadedCosts)
 
-/** Sends plain-service calls at an even rate to the routers in turn. */
+/** Sends plain-service calls at a constant rate to the routers in turn. */
 async function sendLoad(fleet: DemoFleet, ms: number): Promise<void> {
-	const open: Promise<unknown>[] = []
+	const pending: Promise<unknown>[] = []
 	const count = (REQUESTS_PER_SECOND * ms) / 1_000
 	for (let i = 0; i < count; i++) {
 		const router = fleet.routers[i % fleet.routers.length]
 		const account = DEMO_ACCOUNTS[i % DEMO_ACCOUNTS.length]
 		if (router && account)
-			open.push(sendRequest(router.url, { path: '/services/meters/x', body: '{}', account }))
+			pending.push(sendRequest(router.url, { path: '/services/meters/x', body: '{}', account }))
 		await sleep(ms / count)
 	}
-	await Promise.all(open)
+	await Promise.all(pending)
 }
 
 async function measure(fleet: DemoFleet, ms: number): Promise<BoxCost> {
@@ -70,42 +70,42 @@
 	const after = await Promise.all(fleet.routers.map(scrapeMetrics))
 	const seconds = (performance.now() - startedAt) / 1_000
 	const boxes = fleet.routers.length
-	const rate = (prefix: string): number => {
-		return sumOverRouters(before, after, (a, b) => increaseByPrefix(a, b, prefix)) / boxes / seconds
+	const ratePerBox = (prefix: string): number => {
+		return sumOver(before, after, (a, b) => increaseByPrefix(a, b, prefix)) / boxes / seconds
 	}
-	const level = (name: string): number => {
+	const averageOf = (name: string): number => {
 		return after.reduce((total, values) => total + (values.get(name) ?? 0), 0) / boxes
 	}
 	return {
-		bytesPerSecond: rate('stallwing_peer_bytes_'),
-		messagesPerSecond: rate('stallwing_peer_messages_'),
-		cpuPercent: (rate('stallwing_cpu_microseconds_total') / 1_000_000) * PERCENT,
-		residentMb: level('stallwing_resident_bytes') / BYTES_PER_MEGABYTE,
-		heapMb: level('stallwing_heap_used_bytes') / BYTES_PER_MEGABYTE,
-		platformCallsPerSecond: rate('stallwing_platform_calls_total') * boxes,
+		bytesPerSecond: ratePerBox('stallwing_peer_bytes_'),
+		messagesPerSecond: ratePerBox('stallwing_peer_messages_'),
+		cpuPercent: (ratePerBox('stallwing_cpu_microseconds_total') / 1_000_000) * PERCENT,
+		residentMb: averageOf('stallwing_resident_bytes') / BYTES_PER_MEGABYTE,
+		heapMb: averageOf('stallwing_heap_used_bytes') / BYTES_PER_MEGABYTE,
+		platformCallsPerSecond: ratePerBox('stallwing_platform_calls_total') * boxes,
 	}
 }
 
-function sumOverRouters(
+function sumOver(
 	before: readonly MetricValues[],
 	after: readonly MetricValues[],
-	read: (a: MetricValues, b: MetricValues) => number,
+	read: (before: MetricValues, after: MetricValues) => number,
 ): number {
 	return before.reduce((total, values, i) => total + read(values, after[i] ?? values), 0)
 }
 
-function report(title: string, rows: readonly (readonly [number, BoxCost])[]): void {
+function printCosts(title: string, rows: readonly (readonly [number, BoxCost])[]): void {
 	process.stdout.write(`\n${title}\n`)
-	const line = (name: string, read: (figures: BoxCost) => number): void => {
-		const points = rows.map(([size, figures]): Point => [size, read(figures)])
+	const printFit = (name: string, read: (cost: BoxCost) => number): void => {
+		const points = rows.map(([routerCount, cost]): Point => [routerCount, read(cost)])
 		process.stdout.write(`  ${name}: ${describeFit(points)}\n`)
 	}
-	line('bytes sent and received, a second and box', (f) => f.bytesPerSecond)
-	line('messages sent and received, a second and box', (f) => f.messagesPerSecond)
-	line('% of a core, a box, data path included', (f) => f.cpuPercent)
-	line('resident MB of a box', (f) => f.residentMb)
-	line('heap MB of a box', (f) => f.heapMb)
-	line('platform calls a second, all boxes', (f) => f.platformCallsPerSecond)
+	printFit('bytes sent and received, per second and box', (cost) => cost.bytesPerSecond)
+	printFit('messages sent and received, per second and box', (cost) => cost.messagesPerSecond)
+	printFit('% of a CPU per box, data path included', (cost) => cost.cpuPercent)
+	printFit('resident MB per box', (cost) => cost.residentMb)
+	printFit('heap MB per box', (cost) => cost.heapMb)
+	printFit('platform calls per second, all boxes', (cost) => cost.platformCallsPerSecond)
 }
 
 function sleep(ms: number): Promise<void> {
--- a/internal/bench/src/gateway.ts
+++ b/internal/bench/src/gateway.ts
@@ -1,7 +1,6 @@
 /**
- * Processor time of a box for each request, as the kernel counts it for the thread of the gateway; targets and
- * callers run in a thread of their own: `npm run bench:gateway`. With `--cpu-prof` Node writes a profile by function
- * of the same run.
+ * Measures the CPU time of the gateway thread per request, as counted by the kernel: `npm run bench:gateway`. Targets
+ * and callers run in a separate thread. With `--cpu-prof`, Node also writes a CPU profile.
  */
 import { readFileSync } from 'node:fs'
 import { performance } from 'node:perf_hooks'
@@ -18,7 +17,7 @@
 } from './lib/gatewayBenchConfig.js'
 import type { LoadOptions, LoadReport } from './gatewayLoad.js'
 
-/** Targets of the larger service, as many as a large deployment has; they share a few listening ports. */
+/** Number of streaming targets, as in a large deployment. They share a few listening ports. */
 const ENGINES = 98
 const IDLE_DURATION_MS = 2_000
 const WARM_UP: LoadOptions = { requestsPerSecond: 150, durationMs: 3_000 }
@@ -26,7 +25,6 @@
 	{ requestsPerSecond: 65, durationMs: 6_000 },
 	{ requestsPerSecond: 260, durationMs: 6_000 },
 ]
-/** Nanoseconds in a ms. */
 const NANOSECONDS_PER_MS = 1_000_000
 const LOG_LINES_PER_SECOND = 400
 const LOOPBACK = { host: '127.0.0.1', port: 0 }
@@ -74,18 +72,18 @@
 
 await runLoad(WARM_UP)
 const idle = await measureCpuMs(() => sleep(IDLE_DURATION_MS))
-const idlePart = idle.ms / IDLE_DURATION_MS
-print(`idle: ${(1_000 * idlePart).toFixed(1)} ms of each second`)
+const idleShare = idle.ms / IDLE_DURATION_MS
+print(`idle: ${(1_000 * idleShare).toFixed(1)} ms of each second`)
 print('requests/s  answered  failed  processor ms a request  p50 ms  p90 ms')
-for (const order of LOADS) {
-	const { ms, result } = await measureCpuMs(() => runLoad(order))
-	const each = (ms - idlePart * order.durationMs) / Math.max(1, result.answered)
+for (const load of LOADS) {
+	const { ms, result } = await measureCpuMs(() => runLoad(load))
+	const msPerRequest = (ms - idleShare * load.durationMs) / Math.max(1, result.answered)
 	print(
 		[
-			String(order.requestsPerSecond).padStart(10),
+			String(load.requestsPerSecond).padStart(10),
 			String(result.answered).padStart(8),
 			String(result.failed).padStart(6),
-			each.toFixed(3).padStart(22),
+			msPerRequest.toFixed(3).padStart(22),
 			result.firstByteP50Ms.toFixed(1).padStart(6),
 			result.firstByteP90Ms.toFixed(1).padStart(6),
 		].join('  '),
@@ -94,19 +92,19 @@
 await worker.terminate()
 process.exit(0)
 
-function runLoad(order: LoadOptions): Promise<LoadReport> {
-	worker.postMessage({ ...order, port: callers })
+function runLoad(load: LoadOptions): Promise<LoadReport> {
+	worker.postMessage({ ...load, port: callers })
 	return nextMessage<LoadReport>()
 }
 
-/** Processor time of this thread while something ran, in ms. */
+/** Measures the CPU time of this thread during a call, in ms. */
 async function measureCpuMs<T>(run: () => Promise<T>): Promise<{ ms: number; result: T }> {
 	const before = threadCpuMs()
 	const result = await run()
 	return { ms: threadCpuMs() - before, result }
 }
 
-/** Processor time of this thread so far, in ms: the first figure of the scheduler's statistics, in ns. */
+/** Returns the total CPU time of this thread in ms. The first field of `schedstat` is CPU time in ns. */
 function threadCpuMs(): number {
 	const text = readFileSync(`/proc/self/task/${process.pid}/schedstat`, 'utf8')
 	return Number(text.split(' ')[0]) / NANOSECONDS_PER_MS
--- a/internal/bench/src/gatewayLoad.ts
+++ b/internal/bench/src/gatewayLoad.ts
@@ -1,4 +1,4 @@
-/** The other side of `bench:gateway`, in a thread of its own: targets that answer, and callers that ask. */
+/** Worker thread of `bench:gateway` that runs the targets and the callers. */
 import { Agent, createServer, request, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { performance } from 'node:perf_hooks'
@@ -6,17 +6,17 @@
 import { build } from 'hdr-histogram-js'
 import { BENCH_API_KEY, PLAIN_PATH, STREAM_PATH } from './lib/gatewayBenchConfig.js'
 
-/** Requests to be sent. */
+/** Rate and duration of a load. */
 export interface LoadOptions {
 	readonly requestsPerSecond: number
 	readonly durationMs: number
 }
 
-/** What became of the requests of an order. */
+/** Results of a load. */
 export interface LoadReport {
 	readonly answered: number
 	readonly failed: number
-	/** Time to the first byte of an answer. */
+	/** Median time to the first byte of an answer. */
 	readonly firstByteP50Ms: number
 	readonly firstByteP90Ms: number
 }
@@ -25,7 +25,7 @@
 const EVENTS_PER_STREAM = 10
 const EVENT_GAP_MS = 20
 const PLAIN_RESPONSE_MS = 20
-/** Part of the requests that are for the plain service. */
+/** Share of requests sent to the plain service. */
 const PLAIN_SHARE = 0.3
 const SESSIONS = 200
 const CALLERS = 60
@@ -33,28 +33,28 @@
 const PLAIN_BODY = Buffer.alloc(600, 'x')
 const MICROSECONDS_PER_MS = 1_000
 
-const servers = await Promise.all(Array.from({ length: TARGET_PORTS }, listen))
+const ports = await Promise.all(Array.from({ length: TARGET_PORTS }, listen))
 const agents = Array.from({ length: CALLERS }, () => new Agent({ keepAlive: true }))
-parentPort?.postMessage(servers)
-parentPort?.on('message', (order: LoadOptions & { readonly port: number }) => {
-	void runLoad(order).then((report) => parentPort?.postMessage(report))
+parentPort?.postMessage(ports)
+parentPort?.on('message', (load: LoadOptions & { readonly port: number }) => {
+	void runLoad(load).then((report) => parentPort?.postMessage(report))
 })
 
 function listen(): Promise<number> {
-	const server = createServer({ keepAliveTimeout: 10_000 }, (message, response) => {
-		message.resume()
-		message.on('end', () => answer(message, response))
+	const server = createServer({ keepAliveTimeout: 10_000 }, (incoming, response) => {
+		incoming.resume()
+		incoming.on('end', () => answer(incoming, response))
 	})
 	return new Promise((resolve) =>
 		server.listen(0, '127.0.0.1', () => resolve((server.address() as AddressInfo).port)),
 	)
 }
 
-function answer(message: IncomingMessage, response: ServerResponse): void {
-	response.setHeader('request-id', message.headers['request-id'] ?? '')
+function answer(incoming: IncomingMessage, response: ServerResponse): void {
+	response.setHeader('request-id', incoming.headers['request-id'] ?? '')
 	response.setHeader('target-mark', 'mark')
 	response.setHeader('load', '3,0,24')
-	if (message.url?.startsWith(PLAIN_PATH)) {
+	if (incoming.url?.startsWith(PLAIN_PATH)) {
 		setTimeout(() => response.end('x'.repeat(800)), PLAIN_RESPONSE_MS)
 		return
 	}
@@ -69,32 +69,32 @@
 	}, EVENT_GAP_MS)
 }
 
-async function runLoad(order: LoadOptions & { readonly port: number }): Promise<LoadReport> {
+async function runLoad(load: LoadOptions & { readonly port: number }): Promise<LoadReport> {
 	const histogram = build({ numberOfSignificantValueDigits: 3 })
-	const begun = performance.now()
-	const count = Math.round((order.requestsPerSecond * order.durationMs) / 1_000)
-	const ends: Promise<number | undefined>[] = []
+	const startedAt = performance.now()
+	const count = Math.round((load.requestsPerSecond * load.durationMs) / 1_000)
+	const results: Promise<number | undefined>[] = []
 	for (let i = 0; i < count; i++) {
-		const due = begun + (i * 1_000) / order.requestsPerSecond
-		const wait = due - performance.now()
-		if (wait > 0) await new Promise((resolve) => setTimeout(resolve, wait))
-		ends.push(sendRequest(order.port, `${begun}-${i}`, i))
+		const dueAt = startedAt + (i * 1_000) / load.requestsPerSecond
+		const waitMs = dueAt - performance.now()
+		if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs))
+		results.push(sendRequest(load.port, `${startedAt}-${i}`, i))
 	}
-	const firstMs = await Promise.all(ends)
-	const answered = firstMs.filter((ms) => ms !== undefined)
+	const firstByteMs = await Promise.all(results)
+	const answered = firstByteMs.filter((ms) => ms !== undefined)
 	for (const ms of answered) histogram.recordValue(Math.round(ms * MICROSECONDS_PER_MS))
 	return {
 		answered: answered.length,
-		failed: firstMs.length - answered.length,
+		failed: firstByteMs.length - answered.length,
 		firstByteP50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
 		firstByteP90Ms: histogram.getValueAtPercentile(90) / MICROSECONDS_PER_MS,
 	}
 }
 
-/** Time to the first byte, in ms; undefined without a whole answer. */
+/** Returns the time to the first byte in ms, or undefined without a complete answer. */
 function sendRequest(port: number, id: string, index: number): Promise<number | undefined> {
 	const isPlain = index % 10 < PLAIN_SHARE * 10
-	const begun = performance.now()
+	const startedAt = performance.now()
 	return new Promise((resolve) => {
 		const outgoing = request(
 			{
@@ -110,11 +110,11 @@
 					work: `${index % 4},${index % SESSIONS},${id}`,
 				},
 			},
-			(answered) => {
-				const firstMs = performance.now() - begun
-				answered.resume()
-				answered.on('end', () => resolve(answered.statusCode === 200 ? firstMs : undefined))
-				answered.on('error', () => resolve(undefined))
+			(response) => {
+				const firstByteMs = performance.now() - startedAt
+				response.resume()
+				response.on('end', () => resolve(response.statusCode === 200 ? firstByteMs : undefined))
+				response.on('error', () => resolve(undefined))
 			},
 		)
 		outgoing.on('error', () => resolve(undefined))
--- a/internal/bench/src/lib/collectMoneyTotals.ts
+++ b/internal/bench/src/lib/collectMoneyTotals.ts
@@ -1,24 +1,24 @@
 import { collectBudgetTotals, type Simulation } from '@stallwing/soak'
 
-/** Money of a world, over all budgets. */
+/** Totals over all budgets of a simulation. */
 export interface MoneyTotals {
 	readonly billed: number
 	readonly inDoubt: number
 	readonly prepaid: number
-	/** Sum of what budgets were billed beyond what was paid. */
+	/** Sum of the amounts billed beyond the prepaid amount of each budget. */
 	readonly overspend: number
 }
 
-/** Adds up the budgets of a world. */
-export function collectMoneyTotals(world: Simulation): MoneyTotals {
-	const sums = [...collectBudgetTotals(world).values()]
-	const add = (read: (row: (typeof sums)[number]) => number): number => {
-		return sums.reduce((total, row) => total + read(row), 0)
+/** Sums the budgets of a simulation. */
+export function collectMoneyTotals(simulation: Simulation): MoneyTotals {
+	const budgets = [...collectBudgetTotals(simulation).values()]
+	const sumOf = (read: (row: (typeof budgets)[number]) => number): number => {
+		return budgets.reduce((total, row) => total + read(row), 0)
 	}
 	return {
-		billed: add((row) => row.billed),
-		inDoubt: add((row) => row.inDoubt),
-		prepaid: add((row) => row.prepaid),
-		overspend: add((row) => Math.max(0, row.billed - row.prepaid)),
+		billed: sumOf((row) => row.billed),
+		inDoubt: sumOf((row) => row.inDoubt),
+		prepaid: sumOf((row) => row.prepaid),
+		overspend: sumOf((row) => Math.max(0, row.billed - row.prepaid)),
 	}
 }
--- a/internal/bench/src/lib/gatewayBenchConfig.ts
+++ b/internal/bench/src/lib/gatewayBenchConfig.ts
@@ -23,13 +23,13 @@
 }
 const REFUSAL_STATUS = 503
 
-/** Path prefixes of the two routes of the bench. */
+/** Path prefixes of the two routes of the benchmark. */
 export const STREAM_PATH = '/stream/'
 export const PLAIN_PATH = '/plain/'
-/** The only key that callers of the bench have. */
+/** API key of all callers of the benchmark. */
 export const BENCH_API_KEY = 'key'
 
-/** Two routes: streams of engines, and a plain service. */
+/** Configuration with a streaming route to engines and a plain route. */
 export const BENCH_CONFIG: TrafficConfig = {
 	version: 1,
 	routes: [
@@ -97,7 +97,7 @@
 		E.right({ ...(JSON.parse(value.toString('utf8')) as TargetEntry), revision }),
 }
 
-/** Entries of the targets, by key; they listen on the given ports in turn. */
+/** Returns the store documents of the targets by key. The targets share the given ports in turn. */
 export function targetDocuments(engines: number, ports: readonly number[]): [string, string][] {
 	return Array.from({ length: engines + PLAIN_TARGETS }, (_, index) => {
 		const name = `i-${index.toString(16).padStart(10, '0')}`
@@ -116,7 +116,7 @@
 	})
 }
 
-/** Names of headers as the bench's own targets and callers spell them. */
+/** Header names and formats that the targets and callers of the benchmark use. */
 export const BENCH_DIALECT: Dialect = {
 	headers: STANDIN_HEADERS,
 	reservedHeaders: new Set(['authorization', 'account', 'expected-target', 'deadline-ms', 'rank']),
@@ -126,16 +126,16 @@
 	wrongTargetStatus: 421,
 	initialLimits: LIMITS,
 	readWork: (header) => {
-		const stated = header('work')?.split(',')
-		if (!stated) return E.right(undefined)
-		const [system = '', session = '', own = ''] = stated
+		const fields = header('work')?.split(',')
+		if (!fields) return E.right(undefined)
+		const [systemPart = '', sessionPart = '', requestPart = ''] = fields
 		return E.right({
 			inputTokens: 9_000,
 			maxOutputTokens: 50,
 			parts: [
-				{ id: system, tokens: 2_500 },
-				{ id: session, tokens: 3_800 },
-				{ id: own, tokens: 2_700 },
+				{ id: systemPart, tokens: 2_500 },
+				{ id: sessionPart, tokens: 3_800 },
+				{ id: requestPart, tokens: 2_700 },
 			],
 		})
 	},
--- a/internal/bench/src/lib/measureControlCost.ts
+++ b/internal/bench/src/lib/measureControlCost.ts
@@ -1,51 +1,58 @@
 import { Simulation, type SimulationOptions } from '@stallwing/soak'
 import { encodeMessage } from '@stallwing/wire'
 
-/** What one box spends on control in a calm world, per second of virtual time. */
+/** Control cost in a simulation without faults. Rates are per second of virtual time. */
 export interface ControlCost {
-	/** Messages and bytes that the busiest and the average box send, per second. */
+	/** Average messages and bytes sent per box, and average bytes sent per zone leader. */
 	readonly messagesPerSecond: number
 	readonly bytesPerSecond: number
 	readonly leaderBytesPerSecond: number
-	/** Bytes per second and box, by kind of message. */
+	/** Bytes sent per second and box, by message kind. */
 	readonly bytesByKind: Readonly<Record<string, number>>
-	/** Share of a core that decisions take, average box and keeper. */
+	/** Share of a CPU used by core decisions, for the average follower and leader. */
 	readonly cpuShare: number
 	readonly leaderCpuShare: number
-	/** Platform calls per second, over all boxes. */
+	/** Platform calls per second of all boxes. */
 	readonly readsPerSecond: number
 	readonly writesPerSecond: number
 	readonly watchesPerSecond: number
-	/** Share of requests that were answered whole. */
+	/** Share of requests that got a complete answer. */
 	readonly answeredShare: number
 }
 
-/** Time before the measurement, in which budgets are drawn on for the first time. */
+/** Time before the measurement, so that boxes hold slices of their budgets. */
 const WARM_UP_MS = 60_000
 const MEASUREMENT_MS = 20_000
 const MS_PER_SECOND = 1_000
 
-/** Runs a calm world with a request rate and measures its control. */
+/** Runs a simulation without faults at a request rate and measures its control cost. */
 export function measureControlCost(
 	options: Partial<SimulationOptions>,
 	requestsPerSecond: number,
 ): ControlCost {
-	const world = new Simulation({ injectFaults: false, prepaid: 100_000_000, ...options })
-	world.start()
-	const warm = Math.round((requestsPerSecond * WARM_UP_MS) / MS_PER_SECOND)
-	for (let i = 0; i < warm; i++)
-		world.queue.schedule(world.random.next() * WARM_UP_MS, () => world.callers.sendNewRequest())
-	world.runFor(WARM_UP_MS)
-	const before = { ...world.store.counts }
-	const meter = new ControlCostMeter(world)
-	const measured = Math.round((requestsPerSecond * MEASUREMENT_MS) / MS_PER_SECOND)
-	for (let i = 0; i < measured; i++)
-		world.queue.schedule(world.random.next() * MEASUREMENT_MS, () => world.callers.sendNewRequest())
-	world.runFor(MEASUREMENT_MS)
-	const count = warm + measured
-	const figures = meter.costSince(before)
-	world.runFor(5_000)
-	return { ...figures, answeredShare: count === 0 ? 1 : world.callers.answeredIds.size / count }
+	const simulation = new Simulation({ injectFaults: false, prepaid: 100_000_000, ...options })
+	simulation.start()
+	const warmUpCount = Math.round((requestsPerSecond * WARM_UP_MS) / MS_PER_SECOND)
+	for (let i = 0; i < warmUpCount; i++)
+		simulation.queue.schedule(simulation.random.next() * WARM_UP_MS, () =>
+			simulation.callers.sendNewRequest(),
+		)
+	simulation.runFor(WARM_UP_MS)
+	const before = { ...simulation.store.counts }
+	const meter = new ControlCostMeter(simulation)
+	const measuredCount = Math.round((requestsPerSecond * MEASUREMENT_MS) / MS_PER_SECOND)
+	for (let i = 0; i < measuredCount; i++)
+		simulation.queue.schedule(simulation.random.next() * MEASUREMENT_MS, () =>
+			simulation.callers.sendNewRequest(),
+		)
+	simulation.runFor(MEASUREMENT_MS)
+	const requestCount = warmUpCount + measuredCount
+	const cost = meter.costSince(before)
+	simulation.runFor(5_000)
+	return {
+		...cost,
+		answeredShare: requestCount === 0 ? 1 : simulation.callers.answeredIds.size / requestCount,
+	}
 }
 
 class ControlCostMeter {
@@ -73,19 +80,19 @@
 
 	costSince(before: Simulation['store']['counts']): Omit<ControlCost, 'answeredShare'> {
 		const boxes = this.simulation.boxes.length
-		const keepers = this.simulation.zones.length
+		const leaders = this.simulation.zones.length
 		const seconds = MEASUREMENT_MS / MS_PER_SECOND
 		const after = this.simulation.store.counts
-		const keeperBytes = [...this.bytesByLeader.values()].reduce((a, b) => a + b, 0)
+		const leaderBytes = [...this.bytesByLeader.values()].reduce((a, b) => a + b, 0)
 		return {
 			messagesPerSecond: this.messages / boxes / seconds,
 			bytesPerSecond: this.bytes / boxes / seconds,
-			leaderBytesPerSecond: keeperBytes / keepers / seconds,
+			leaderBytesPerSecond: leaderBytes / leaders / seconds,
 			bytesByKind: Object.fromEntries(
 				[...this.bytesByKind].map(([kind, sum]) => [kind, Math.round(sum / boxes / seconds)]),
 			),
-			cpuShare: this.followerCpuMs / Math.max(1, boxes - keepers) / MEASUREMENT_MS,
-			leaderCpuShare: this.leaderCpuMs / keepers / MEASUREMENT_MS,
+			cpuShare: this.followerCpuMs / Math.max(1, boxes - leaders) / MEASUREMENT_MS,
+			leaderCpuShare: this.leaderCpuMs / leaders / MEASUREMENT_MS,
 			readsPerSecond: (after.reads - before.reads) / seconds,
 			writesPerSecond: (after.writes - before.writes) / seconds,
 			watchesPerSecond: (after.watches - before.watches) / seconds,
--- a/internal/bench/src/lib/scrapeMetrics.ts
+++ b/internal/bench/src/lib/scrapeMetrics.ts
@@ -1,27 +1,28 @@
 import type { FleetRouter } from '@stallwing/demo'
 
-/** Metrics of one router at one moment, by name with labels. */
+/** Metric values of a router, by name with labels. */
 export type MetricValues = ReadonlyMap<string, number>
 
-/** Reads a router's metrics. */
+/** Fetches the metrics of a router. */
 export async function scrapeMetrics(router: FleetRouter): Promise<MetricValues> {
 	const text = await (await fetch(`${router.url}/metrics`)).text()
 	const values = new Map<string, number>()
 	for (const line of text.split('\n')) {
-		const at = line.lastIndexOf(' ')
-		if (at > 0) values.set(line.slice(0, at), Number(line.slice(at + 1)))
+		const separatorIndex = line.lastIndexOf(' ')
+		if (separatorIndex > 0)
+			values.set(line.slice(0, separatorIndex), Number(line.slice(separatorIndex + 1)))
 	}
 	return values
 }
 
-/** Sum of all metrics whose name starts with a prefix. */
+/** Returns the sum of all metrics whose name starts with a prefix. */
 export function sumByPrefix(values: MetricValues, prefix: string): number {
 	let sum = 0
 	for (const [name, value] of values) if (name.startsWith(prefix)) sum += value
 	return sum
 }
 
-/** Growth of a sum between two scrapes. */
+/** Returns the increase between two scrapes of the sum of all metrics whose name starts with a prefix. */
 export function increaseByPrefix(
 	before: MetricValues,
 	after: MetricValues,
--- a/internal/bench/src/link.ts
+++ b/internal/bench/src/link.ts
@@ -1,7 +1,7 @@
 /**
- * Processor time of the talk between boxes, sending and receiving side together, over a real HTTP/2
- * stream on the loopback address: `npm run bench:link`. First by frames a second with one message
- * each, then 100 messages a second with the frames rationed.
+ * Measures the CPU time of messages between two boxes, sender and receiver together, over HTTP/2 on the
+ * loopback address: `npm run bench:link`. First it varies the rate of frames with one message each, then
+ * the limit of frames per second for 100 messages per second.
  */
 import { brandId, type BoxName, type Incarnation, type PeerMessage } from '@stallwing/core'
 import { Metrics, PeerLinks, PeerServer } from '@stallwing/router'
@@ -16,19 +16,19 @@
 
 const message = makeLogMessage()
 
-// The compiler optimises what runs often: without this the first rounds cost several times more.
+// Warms up the JIT compiler. Without this, the first rounds cost several times more.
 await measure(3_000, 1_000)
 const points: [number, number][] = []
 for (const rate of MESSAGE_RATES) points.push([rate, await measure(rate, 1_000)])
 print(`% of a core by frames a second, both sides: ${describeFit(points)}`)
-for (const ration of FRAME_LIMITS) {
-	const used = await measure(MESSAGES_PER_SECOND, ration)
+for (const frameLimit of FRAME_LIMITS) {
+	const cpu = await measure(MESSAGES_PER_SECOND, frameLimit)
 	print(
-		`  ${MESSAGES_PER_SECOND} messages a second in at most ${ration} frames: ${used.toFixed(2)} %`,
+		`  ${MESSAGES_PER_SECOND} messages a second in at most ${frameLimit} frames: ${cpu.toFixed(2)} %`,
 	)
 }
 
-/** Sends at a rate for a while; returns the processor time as % of a core. */
+/** Sends at a rate for one round. Returns the CPU time as % of a core. */
 async function measure(rate: number, framesPerSecond: number): Promise<number> {
 	const metrics = new Metrics()
 	const handlers = {
@@ -39,10 +39,10 @@
 	const server = new PeerServer(handlers, metrics, undefined)
 	const port = await server.listen('127.0.0.1', 0)
 	const links = new PeerLinks(brandId<BoxName>('sender'), undefined, metrics, framesPerSecond)
-	const used = await sendAt(links, `http://127.0.0.1:${port}`, rate)
+	const cpu = await sendAt(links, `http://127.0.0.1:${port}`, rate)
 	links.close()
 	await server.close()
-	return used
+	return cpu
 }
 
 async function sendAt(links: PeerLinks, address: string, rate: number): Promise<number> {
@@ -50,12 +50,12 @@
 	const startedAt = performance.now()
 	let sent = 0
 	while (performance.now() - startedAt < ROUND_DURATION_MS) {
-		const due = Math.floor(((performance.now() - startedAt) * rate) / 1_000)
-		for (; sent < due; sent++) links.send(address, message)
+		const dueCount = Math.floor(((performance.now() - startedAt) * rate) / 1_000)
+		for (; sent < dueCount; sent++) links.send(address, message)
 		await new Promise((resolve) => setTimeout(resolve, SEND_PERIOD_MS))
 	}
-	const used = process.cpuUsage(before)
-	return ((used.user + used.system) / 1_000 / (performance.now() - startedAt)) * PERCENT
+	const cpu = process.cpuUsage(before)
+	return ((cpu.user + cpu.system) / 1_000 / (performance.now() - startedAt)) * PERCENT
 }
 
 function print(text: string): void {
--- a/internal/bench/src/money.ts
+++ b/internal/bench/src/money.ts
@@ -1,7 +1,7 @@
 /**
- * Ways of handing money out, compared in virtual time: `npm run bench:money [-- --seeds N]`.
- * A false refusal is value that an all-knowing oracle would have run and we did not, as a share of
- * the oracle's value.
+ * Compares budget distribution strategies in simulations: `npm run bench:money [-- --seeds N]`.
+ * "False refusals" is the value that an oracle with full knowledge would have run and the simulation
+ * did not, as a share of the oracle's value.
  */
 import { parseArgs } from 'node:util'
 import { ALL_PROTECTIONS, type Protections } from '@stallwing/core'
@@ -13,7 +13,7 @@
 
 const DURATION_MS = 240_000
 const REQUESTS = 1_200
-/** Mean charge of a request of a run, to size the budgets. */
+/** Mean charge of a simulated request, from which the budgets are sized. */
 const MEAN_CHARGE = 38
 const UNLIMITED_MS = 1_000_000_000
 const PERCENT = 100
@@ -27,15 +27,15 @@
 interface LoadShape {
 	readonly name: string
 	readonly zones: number
-	/** Time of an arrival, 0 to 1, from a random number. */
+	/** Maps a uniform random number to an arrival time, 0 to 1. */
 	readonly arrivalTime: (random: number) => number
 }
 
 interface Scenario {
 	readonly name: string
-	/** Prepaid money as a share of the whole demand. */
+	/** Prepaid amount as a share of total demand. */
 	readonly prepaidShare: number
-	readonly injectFault: (world: Simulation) => void
+	readonly injectFault: (simulation: Simulation) => void
 }
 
 const NO_REBALANCING: Partial<Protections> = { recall: false, transfers: false }
@@ -72,12 +72,12 @@
 	{
 		name: 'zone cut off',
 		prepaidShare: 1.5,
-		injectFault: (world) => world.faults.partition(world.zones[0] as string),
+		injectFault: (simulation) => simulation.faults.partition(simulation.zones[0] as string),
 	},
 	{
 		name: 'platform down',
 		prepaidShare: 1.5,
-		injectFault: (world) => world.faults.startPlatformOutage(),
+		injectFault: (simulation) => simulation.faults.startPlatformOutage(),
 	},
 	{ name: 'runs dry', prepaidShare: 0.6, injectFault: () => undefined },
 ]
@@ -87,9 +87,9 @@
 	print(
 		`${'way'.padEnd(38)} scenario        overspend  false refusals  in doubt  writes/s  reads/s  bytes/request`,
 	)
-	for (const way of STRATEGIES)
+	for (const strategy of STRATEGIES)
 		for (const scenario of SCENARIOS)
-			print(formatRow(way, scenario, measureAll(load, way, scenario)))
+			print(formatRow(strategy, scenario, measureAll(load, strategy, scenario)))
 }
 
 interface Result extends MoneyTotals {
@@ -100,87 +100,87 @@
 	readonly bytesPerRequest: number
 }
 
-function measureAll(load: LoadShape, way: Strategy, scenario: Scenario): Result {
+function measureAll(load: LoadShape, strategy: Strategy, scenario: Scenario): Result {
 	const results = Array.from({ length: Number(values.seeds) }, (_, i) => {
-		return measure(load, way, scenario, i + 1)
+		return measure(load, strategy, scenario, i + 1)
 	})
 	const sum = (read: (result: Result) => number): number => {
 		return results.reduce((total, result) => total + read(result), 0) / results.length
 	}
 	return {
-		oracleValue: sum((r) => r.oracleValue),
-		answeredValue: sum((r) => r.answeredValue),
-		writesPerSecond: sum((r) => r.writesPerSecond),
-		readsPerSecond: sum((r) => r.readsPerSecond),
-		bytesPerRequest: sum((r) => r.bytesPerRequest),
-		billed: sum((r) => r.billed),
-		inDoubt: sum((r) => r.inDoubt),
-		prepaid: sum((r) => r.prepaid),
-		overspend: sum((r) => r.overspend),
+		oracleValue: sum((result) => result.oracleValue),
+		answeredValue: sum((result) => result.answeredValue),
+		writesPerSecond: sum((result) => result.writesPerSecond),
+		readsPerSecond: sum((result) => result.readsPerSecond),
+		bytesPerRequest: sum((result) => result.bytesPerRequest),
+		billed: sum((result) => result.billed),
+		inDoubt: sum((result) => result.inDoubt),
+		prepaid: sum((result) => result.prepaid),
+		overspend: sum((result) => result.overspend),
 	}
 }
 
-function measure(load: LoadShape, way: Strategy, scenario: Scenario, seed: number): Result {
+function measure(load: LoadShape, strategy: Strategy, scenario: Scenario, seed: number): Result {
 	const accounts = 10
 	const prepaid = Math.round((REQUESTS * MEAN_CHARGE * scenario.prepaidShare) / accounts)
-	const world = new Simulation({
+	const simulation = new Simulation({
 		seed,
 		zones: load.zones,
 		boxesPerZone: 2,
 		accounts,
 		prepaid,
 		injectFaults: false,
-		policy: way.policy,
-		protections: { ...ALL_PROTECTIONS, ...way.protections },
+		policy: strategy.policy,
+		protections: { ...ALL_PROTECTIONS, ...strategy.protections },
 	})
 	let bytes = 0
-	world.onSend = (_, message) => {
+	simulation.onSend = (_, message) => {
 		bytes += encodeMessage(message).length
 	}
-	world.start()
-	const before = { ...world.store.counts }
+	simulation.start()
+	const before = { ...simulation.store.counts }
 	for (let i = 0; i < REQUESTS; i++)
-		world.queue.schedule(load.arrivalTime(world.random.next()) * DURATION_MS, () =>
-			world.callers.sendNewRequest(),
+		simulation.queue.schedule(load.arrivalTime(simulation.random.next()) * DURATION_MS, () =>
+			simulation.callers.sendNewRequest(),
 		)
-	// The fault covers the middle half of the time.
-	world.queue.schedule(DURATION_MS / 4, () => scenario.injectFault(world))
-	world.queue.schedule((DURATION_MS * 3) / 4, () => world.faults.clearFaults())
-	world.runFor(DURATION_MS)
-	const doubt = collectMoneyTotals(world).inDoubt
-	world.runFor(30_000)
-	const after = world.store.counts
+	// The fault lasts for the middle half of the simulation.
+	simulation.queue.schedule(DURATION_MS / 4, () => scenario.injectFault(simulation))
+	simulation.queue.schedule((DURATION_MS * 3) / 4, () => simulation.faults.clearFaults())
+	simulation.runFor(DURATION_MS)
+	const inDoubt = collectMoneyTotals(simulation).inDoubt
+	simulation.runFor(30_000)
+	const after = simulation.store.counts
 	const seconds = DURATION_MS / 1_000
 	return {
-		...collectMoneyTotals(world),
-		inDoubt: doubt,
-		...world.callers.compareWithOracle(prepaid),
+		...collectMoneyTotals(simulation),
+		inDoubt,
+		...simulation.callers.compareWithOracle(prepaid),
 		writesPerSecond: (after.writes - before.writes) / seconds,
 		readsPerSecond: (after.reads - before.reads + after.watches - before.watches) / seconds,
 		bytesPerRequest: bytes / REQUESTS,
 	}
 }
 
-/** A box of each zone in turn is killed and replaced. */
-function crashBoxes(world: Simulation): void {
+/** Kills and restarts six boxes, 18 s apart. */
+function crashBoxes(simulation: Simulation): void {
 	for (let i = 0; i < 6; i++) {
-		world.queue.schedule(i * 18_000, () => {
-			const box = world.boxes[(i * 2) % world.boxes.length]
+		simulation.queue.schedule(i * 18_000, () => {
+			const box = simulation.boxes[(i * 2) % simulation.boxes.length]
 			box?.kill()
-			world.queue.schedule(8_000, () => box?.core === undefined && box?.boot())
+			simulation.queue.schedule(8_000, () => box?.core === undefined && box?.boot())
 		})
 	}
 }
 
-function formatRow(way: Strategy, scenario: Scenario, result: Result): string {
-	const lost = (result.oracleValue - result.answeredValue) / result.oracleValue
-	const doubt = result.inDoubt / result.prepaid
+function formatRow(strategy: Strategy, scenario: Scenario, result: Result): string {
+	const falseRefusalShare = (result.oracleValue - result.answeredValue) / result.oracleValue
+	const inDoubtShare = result.inDoubt / result.prepaid
 	return [
-		way.name.padEnd(38),
+		strategy.name.padEnd(38),
 		scenario.name.padEnd(14),
 		String(result.overspend).padStart(10),
-		`${(lost * PERCENT).toFixed(2)} %`.padStart(14),
-		`${(doubt * PERCENT).toFixed(2)} %`.padStart(8),
+		`${(falseRefusalShare * PERCENT).toFixed(2)} %`.padStart(14),
+		`${(inDoubtShare * PERCENT).toFixed(2)} %`.padStart(8),
 		result.writesPerSecond.toFixed(1).padStart(8),
 		result.readsPerSecond.toFixed(1).padStart(7),
 		result.bytesPerRequest.toFixed(0).padStart(13),
--- a/internal/bench/src/path.ts
+++ b/internal/bench/src/path.ts
@@ -1,6 +1,6 @@
 /**
- * Requests a second and added latency of the router against a straight call to the same target, both
- * in one run: `npm run bench:path`.
+ * Compares throughput and latency of calls through a router with direct calls to the same target:
+ * `npm run bench:path`.
  */
 import { Agent, request as httpRequest } from 'node:http'
 import { DEMO_ACCOUNTS, DemoFleet, type FleetRouter } from '@stallwing/demo'
@@ -32,24 +32,24 @@
 		'callers  straight/s  routed/s  ratio  straight p50/p99 ms  routed p50/p99 ms  added p50/p99 ms  failed',
 	)
 	for (const callers of CALLER_COUNTS) {
-		const straight = await runRound(`${service}/x`, {}, callers, ROUND_DURATION_MS)
+		const direct = await runRound(`${service}/x`, {}, callers, ROUND_DURATION_MS)
 		const routed = await runRound(
 			`${router.url}/services/meters/x`,
 			headers,
 			callers,
 			ROUND_DURATION_MS,
 		)
-		const ratio = routed.requestsPerSecond / straight.requestsPerSecond
+		const ratio = routed.requestsPerSecond / direct.requestsPerSecond
 		print(
 			[
 				String(callers).padEnd(7),
-				straight.requestsPerSecond.toFixed(0).padStart(10),
+				direct.requestsPerSecond.toFixed(0).padStart(10),
 				routed.requestsPerSecond.toFixed(0).padStart(9),
 				ratio.toFixed(3).padStart(6),
-				formatPair(straight.p50Ms, straight.p99Ms).padStart(20),
+				formatPair(direct.p50Ms, direct.p99Ms).padStart(20),
 				formatPair(routed.p50Ms, routed.p99Ms).padStart(18),
-				formatPair(routed.p50Ms - straight.p50Ms, routed.p99Ms - straight.p99Ms).padStart(17),
-				String(routed.failed + straight.failed).padStart(7),
+				formatPair(routed.p50Ms - direct.p50Ms, routed.p99Ms - direct.p99Ms).padStart(17),
+				String(routed.failed + direct.failed).padStart(7),
 			].join('  '),
 		)
 	}
@@ -60,24 +60,24 @@
 	await fleet.stop()
 }
 
-/** Sends plain-service calls from a number of callers for a while. */
+/** Sends plain-service calls from a number of concurrent callers for a duration. */
 async function runRound(
 	url: string,
 	headers: Record<string, string>,
 	callers: number,
-	ms: number,
+	durationMs: number,
 ): Promise<RoundResult> {
 	const histogram = build({ numberOfSignificantValueDigits: 3 })
 	const agent = new Agent({ keepAlive: true, maxSockets: callers })
-	const until = performance.now() + ms
+	const deadline = performance.now() + durationMs
 	const startedAt = performance.now()
 	let failed = 0
 	async function caller(): Promise<void> {
-		while (performance.now() < until) {
-			const begun = performance.now()
+		while (performance.now() < deadline) {
+			const sentAt = performance.now()
 			const status = await sendCall(url, headers, agent)
 			if (status !== 200) failed++
-			histogram.recordValue(Math.round((performance.now() - begun) * MICROSECONDS_PER_MS))
+			histogram.recordValue(Math.round((performance.now() - sentAt) * MICROSECONDS_PER_MS))
 		}
 	}
 	await Promise.all(Array.from({ length: callers }, caller))
--- a/internal/bench/src/routing.ts
+++ b/internal/bench/src/routing.ts
@@ -1,6 +1,6 @@
 /**
- * Ways of choosing a target, compared in virtual time with the real `pickTarget`:
- * `npm run bench:routing`. Routers see load reports that are a second old and their own attempts.
+ * Compares target selection strategies in virtual time, using the real `pickTarget`:
+ * `npm run bench:routing`. Routers know their own attempts and load reports up to one second old.
  */
 import {
 	DEFAULT_PICK_OPTIONS,
@@ -17,7 +17,7 @@
 const DURATION_MS = 60_000
 const REPORT_PERIOD_MS = 1_000
 const TARGET_COUNT = 12
-/** Requests that a target serves at full speed; beyond, all of them slow down evenly. */
+/** Concurrent requests that a target serves at full speed. Above it, all requests slow down evenly. */
 const MAX_FULL_SPEED_REQUESTS = 8
 const SERVICE_TIME_MS = 400
 const EJECT_AFTER_FAILURES = 3
@@ -27,14 +27,15 @@
 
 interface SimTarget {
 	running: number
-	/** How many times longer than normal a request takes here. */
+	/** Factor by which requests take longer than at a normal target. */
 	readonly slowdown: number
-	/** Share of requests that fail at once. */
+	/** Share of requests that fail immediately. */
 	readonly failureShare: number
 }
 
 interface Scenario {
 	readonly name: string
+	/** Properties that differ at the first target. */
 	readonly firstTarget: Partial<SimTarget>
 }
 
@@ -69,15 +70,17 @@
 	process.stdout.write(
 		`\n${routers} routers, ${TARGET_COUNT} targets at ${LOAD_SHARE * PERCENT} % load\n`,
 	)
-	process.stdout.write(`${'way'.padEnd(22)} ${SCENARIOS.map((s) => s.name.padEnd(26)).join('')}\n`)
-	for (const way of STRATEGIES) {
-		const cells = SCENARIOS.map((scenario) => simulate(routers, way, scenario).padEnd(26))
-		process.stdout.write(`${way.name.padEnd(22)} ${cells.join('')}\n`)
+	process.stdout.write(
+		`${'way'.padEnd(22)} ${SCENARIOS.map((scenario) => scenario.name.padEnd(26)).join('')}\n`,
+	)
+	for (const strategy of STRATEGIES) {
+		const cells = SCENARIOS.map((scenario) => simulate(routers, strategy, scenario).padEnd(26))
+		process.stdout.write(`${strategy.name.padEnd(22)} ${cells.join('')}\n`)
 	}
 }
 
-/** One run; gives p50, p99 and failed requests. */
-function simulate(routers: number, way: Strategy, scenario: Scenario): string {
+/** Runs a simulation and formats p50 and p99 latency and the share of failed requests. */
+function simulate(routers: number, strategy: Strategy, scenario: Scenario): string {
 	const queue = new EventQueue()
 	const random = new Random(42)
 	const targets = Array.from({ length: TARGET_COUNT }, (_, i): SimTarget => {
@@ -86,7 +89,7 @@
 	const views = Array.from({ length: routers }, () => targets.map((_, i) => makeTargetState(i)))
 	const latencies: number[] = []
 	let failed = 0
-	const options = { ...DEFAULT_PICK_OPTIONS, ...way.options }
+	const options = { ...DEFAULT_PICK_OPTIONS, ...strategy.options }
 
 	function report(): void {
 		for (const view of views)
@@ -100,9 +103,9 @@
 
 	function send(): void {
 		const view = random.pick(views)
-		const open = view.filter((state) => state.ejectedUntil <= queue.now)
+		const available = view.filter((state) => state.ejectedUntil <= queue.now)
 		const input = { prefix: undefined, now: queue.now, random: () => random.next(), options }
-		const state = pickTarget(open.length > 0 ? open : view, input)?.state
+		const state = pickTarget(available.length > 0 ? available : view, input)?.state
 		const target = targets[Number(state?.record.name ?? 0)]
 		if (state && target) serve(state, target)
 	}
@@ -112,40 +115,40 @@
 		state.startedSinceReport++
 		const fails = random.chance(target.failureShare)
 		target.running++
-		const crowding = Math.max(1, target.running / MAX_FULL_SPEED_REQUESTS)
-		const spread = 0.5 + random.next()
-		const ms = fails ? 5 : SERVICE_TIME_MS * target.slowdown * crowding * spread
+		const loadFactor = Math.max(1, target.running / MAX_FULL_SPEED_REQUESTS)
+		const variation = 0.5 + random.next()
+		const ms = fails ? 5 : SERVICE_TIME_MS * target.slowdown * loadFactor * variation
 		queue.schedule(ms, () => {
 			state.inFlight--
 			target.running--
-			note(state, fails, ms)
+			recordOutcome(state, fails, ms)
 		})
 	}
 
-	function note(state: TargetState, fails: boolean, ms: number): void {
+	function recordOutcome(state: TargetState, fails: boolean, ms: number): void {
 		state.failureRate += 0.1 * (Number(fails) - state.failureRate)
 		state.consecutiveFailures = fails ? state.consecutiveFailures + 1 : 0
-		if (way.ejectsTargets && state.consecutiveFailures >= EJECT_AFTER_FAILURES)
+		if (strategy.ejectsTargets && state.consecutiveFailures >= EJECT_AFTER_FAILURES)
 			state.ejectedUntil = queue.now + EJECTION_MS
 		if (fails) failed++
 		else latencies.push(ms)
 	}
 
 	report()
-	const perMs = (TARGET_COUNT * MAX_FULL_SPEED_REQUESTS * LOAD_SHARE) / SERVICE_TIME_MS
-	const count = Math.floor(perMs * DURATION_MS)
+	const arrivalsPerMs = (TARGET_COUNT * MAX_FULL_SPEED_REQUESTS * LOAD_SHARE) / SERVICE_TIME_MS
+	const count = Math.floor(arrivalsPerMs * DURATION_MS)
 	for (let i = 0; i < count; i++) queue.schedule(random.next() * DURATION_MS, send)
 	while (queue.runNext(DURATION_MS));
 	latencies.sort((a, b) => a - b)
-	const at = (share: number): string => {
+	const percentile = (share: number): string => {
 		return (latencies[Math.floor(latencies.length * share)] ?? 0).toFixed(0)
 	}
-	return `${at(0.5)} / ${at(0.99)} ms, ${((failed / count) * PERCENT).toFixed(2)} %`
+	return `${percentile(0.5)} / ${percentile(0.99)} ms, ${((failed / count) * PERCENT).toFixed(2)} %`
 }
 
-function makeTargetState(i: number): TargetState {
+function makeTargetState(index: number): TargetState {
 	const record = {
-		name: brandId<TargetName>(String(i)),
+		name: brandId<TargetName>(String(index)),
 		zone: brandId<ZoneName>('zone-a'),
 		kind: 'engine' as const,
 		url: '',
