--- a/internal/scripts/check-known-red.mjs
+++ b/internal/scripts/check-known-red.mjs
@@ -1,10 +1,11 @@
-// Decides what failed tests mean for CI, from the JSON report of vitest: passes over the tests that
-// KNOWN-RED.txt lists, and over no others. Usage: node check-known-red.mjs REPORT
-// A line of KNOWN-RED.txt: FILE > NAME | cause | issue | command and seed | what was seen
+// Fails CI unless every failed test in a JSON report of vitest is listed in KNOWN-RED.txt, and every
+// listed test fails. Usage: node check-known-red.mjs REPORT
+// Format of a line of KNOWN-RED.txt:
+// FILE > NAME | cause | issue | command and seed | observed failure
 import { existsSync, readFileSync } from 'node:fs'
 import { relative } from 'node:path'
 
-const MOST_LISTED = 3
+const MAX_LISTED_TESTS = 3
 
 const [reportFile = ''] = process.argv.slice(2)
 const report = JSON.parse(readFileSync(reportFile, 'utf8'))
@@ -12,16 +13,18 @@
 const failed = report.testResults.flatMap(failuresOf)
 const known = failed.filter((test) => listed.has(test))
 const unknown = failed.filter((test) => !listed.has(test))
-const mended = [...listed.keys()].filter((test) => !failed.includes(test))
+const passing = [...listed.keys()].filter((test) => !failed.includes(test))
 
 for (const test of known) console.log(`known red: ${test} | ${listed.get(test)}`)
 for (const test of unknown) console.log(`FAILED: ${test}`)
-for (const test of mended) console.log(`FAILED: passes and is still listed as known red: ${test}`)
-if (listed.size > MOST_LISTED) console.log(`FAILED: more than ${MOST_LISTED} tests are listed`)
-const isUnexplained = !report.success && failed.length === 0
-if (isUnexplained) console.log('FAILED: the run failed although no test did')
-const isRed = unknown.length + mended.length > 0 || listed.size > MOST_LISTED || isUnexplained
-process.exitCode = isRed ? 1 : 0
+for (const test of passing) console.log(`FAILED: passes and is still listed as known red: ${test}`)
+if (listed.size > MAX_LISTED_TESTS)
+	console.log(`FAILED: more than ${MAX_LISTED_TESTS} tests are listed`)
+const failedWithoutTest = !report.success && failed.length === 0
+if (failedWithoutTest) console.log('FAILED: the run failed although no test did')
+const hasFailed =
+	unknown.length + passing.length > 0 || listed.size > MAX_LISTED_TESTS || failedWithoutTest
+process.exitCode = hasFailed ? 1 : 0
 
 function readListed() {
 	const file = 'KNOWN-RED.txt'
@@ -30,7 +33,7 @@
 	return new Map(entries.map(([test = '', ...rest]) => [test.trim(), rest.join(' | ')]))
 }
 
-/** Failed tests of a file as `FILE > NAME`; a file that could not be run counts as one. */
+/** Returns the failed tests of a file as `FILE > NAME`. A file that could not run counts as one test. */
 function failuresOf({ name, status, assertionResults }) {
 	const file = relative(process.cwd(), name)
 	const failures = assertionResults.filter((test) => test.status === 'failed')
--- a/internal/scripts/settings-reference.mjs
+++ b/internal/scripts/settings-reference.mjs
@@ -1,26 +1,26 @@
-// Prints docs/operators/settings.md from the schema of the settings.
+// Generates docs/operators/settings.md from the settings schema and prints it.
 import { z } from 'zod'
 import { settingsSchema } from '@stallwing/router'
 
 const schema = z.toJSONSchema(settingsSchema, { io: 'input' })
 const rows = []
 
-function walk(node, path, required) {
+function addRows(node, path, isParentRequired) {
 	for (const [name, child] of Object.entries(node.properties ?? {})) {
-		const full = path === '' ? name : `${path}.${name}`
-		const needed = (node.required ?? []).includes(name) && required
+		const fullPath = path === '' ? name : `${path}.${name}`
+		const isRequired = (node.required ?? []).includes(name) && isParentRequired
 		if (child.properties) {
-			walk(child, full, needed)
+			addRows(child, fullPath, isRequired)
 			continue
 		}
-		const standard = child.default === undefined ? '' : `\`${JSON.stringify(child.default)}\``
+		const defaultValue = child.default === undefined ? '' : `\`${JSON.stringify(child.default)}\``
 		rows.push(
-			`| \`${full}\` | ${child.type} | ${needed ? 'yes' : ''} | ${standard} | ${child.description ?? ''} |`,
+			`| \`${fullPath}\` | ${child.type} | ${isRequired ? 'yes' : ''} | ${defaultValue} | ${child.description ?? ''} |`,
 		)
 	}
 }
 
-walk(schema, '', true)
+addRows(schema, '', true)
 process.stdout.write(`# Settings of a router
 
 JSON with comments. Made from the schema by \`npm run docs:settings\`.
--- a/rolldown.config.js
+++ b/rolldown.config.js
@@ -2,7 +2,7 @@
 
 const packages = ['core', 'store', 'telemetry', 'gateway']
 
-/** One file per program, so that a start reads one file only. */
+/** Bundles the program into one file, so that a start reads only that file. */
 const config = defineConfig({
 	input: 'platform/src/main.ts',
 	platform: 'node',
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -12,7 +12,7 @@
 		],
 		testTimeout: 120_000,
 		hookTimeout: 120_000,
-		// Real-process tests take several processes each: a few files at a time.
+		// Tests with real processes start several processes each, so only a few files run at once.
 		maxWorkers: 4,
 	},
 	resolve: {
