--- a/internal/soak/src/lib/Simulation.ts
+++ b/internal/soak/src/lib/Simulation.ts
@@ -132,7 +132,7 @@
 		this.runFor(8_000)
 	}
 
-	/** Runs the whole simulation. Throws {@link InvariantViolation} if an invariant does not hold. */
+	/** Runs the simulation to its end. Throws {@link InvariantViolation} if an invariant does not hold. */
 	run(): void {
 		this.start()
 		const { requests, durationMs, injectFaults } = this.options
