--- a/packages/core/src/lib/allowance/AllowanceLedger.ts
+++ b/packages/core/src/lib/allowance/AllowanceLedger.ts
@@ -13,7 +13,7 @@
 	spendingLimit: number
 	/** Tokens reserved, charged and lent by this incarnation, minus those borrowed. */
 	used: number
-	/** No reservations until a draw under this configuration version, which lowered the budget; 0 if not frozen. */
+	/** Reservations are refused until a draw under this configuration version, which lowered the budget; 0 if not frozen. */
 	frozenUntilVersion: number
 	/** Configuration version that last lowered the budget; 0 if none did. */
 	loweredAtVersion: number
@@ -59,7 +59,7 @@
 		return this.spentByPredecessors !== undefined
 	}
 
-	/** Counts the tokens of earlier incarnations as spent, so none of them is available. */
+	/** Allows this incarnation to draw. Counts the tokens of earlier incarnations, `spent`, as spent. */
 	claim(spent: Readonly<Record<AccountName, number>>): void {
 		this.spentByPredecessors = spent
 		for (const [account, tokens] of Object.entries<number>(spent)) {
--- a/packages/core/src/lib/allowance/AllowanceRow.ts
+++ b/packages/core/src/lib/allowance/AllowanceRow.ts
@@ -60,8 +60,8 @@
 
 /**
  * True if the row contains all draws of a box. After a restore of the store, a box that has not written in this era may
- * have drawn more than the row says. {@link MIN_DRAW_REPLICAS} other boxes know its draws and write them back. The row is
- * complete once fewer boxes than that are left which have not written or which started in this era.
+ * have drawn more than the row says. {@link MIN_DRAW_REPLICAS} other boxes know each of its draws and write it back. At
+ * least one of them has done so if fewer other boxes than that have yet to write in this era, or claimed only in it.
  */
 export function isDrawKnown(row: AllowanceRow, box: BoxName, era: number): boolean {
 	const draws = row.boxes[box]
--- a/packages/core/src/lib/allowance/planDraw.ts
+++ b/packages/core/src/lib/allowance/planDraw.ts
@@ -35,7 +35,7 @@
 	readonly claimedInEra: number
 }
 
-/** Demand that a box holds in advance, in seconds, to serve requests while the store is unreachable. */
+/** Seconds of demand that a box holds in advance, to serve requests while the store is unreachable. */
 const DEMAND_BUFFER_SECONDS = 9
 /** Fraction of the undrawn tokens that all boxes together hold beyond their demand. */
 const SPECULATIVE_FRACTION = 0.2
@@ -52,7 +52,7 @@
 
 /**
  * Unspent tokens that a box should hold of an account: its demand for some seconds, or a small fraction of the undrawn
- * tokens, for accounts whose first requests arrive while the store is unreachable.
+ * tokens if that is more, so that it can serve first requests that arrive while the store is unreachable.
  */
 function desiredTokens(view: AllowanceView, undrawn: number, boxes: number): number {
 	const demand = view.tokensPerSecond * DEMAND_BUFFER_SECONDS
@@ -98,7 +98,7 @@
 	}
 	return {
 		...row,
-		// A row that was lost may have listed other boxes.
+		// An empty row may replace a lost one that contained the draws of other boxes.
 		era: hasNoBoxes(row) ? UNKNOWN_ERA : row.era,
 		budgetsVersion: budgets.version,
 		budgets: budgets.tokens,
--- a/packages/core/src/lib/controllers/MembershipController.ts
+++ b/packages/core/src/lib/controllers/MembershipController.ts
@@ -13,7 +13,7 @@
 	receivedAt: Millis
 	isDrained: boolean
 	viewNumber: number
-	/** Version of the views of other zones that the box was last sent. */
+	/** `zonesVersion` when the last digest was sent to the box; -1 if none was. */
 	sentZonesVersion: number
 }
 
--- a/packages/core/src/lib/controllers/ZoneLeaderController.ts
+++ b/packages/core/src/lib/controllers/ZoneLeaderController.ts
@@ -7,7 +7,7 @@
 import type { GrantRow, PeerMessage } from '../router/PeerMessage.js'
 import { SECOND_MS, type Amount, type Millis } from '../units.js'
 
-/** Report of a removed incarnation that is not in the zone ledger yet. */
+/** A replica report that is not in the zone ledger yet. */
 interface PendingReplicaReport {
 	readonly box: BoxName
 	readonly incarnation: Incarnation
--- a/packages/core/src/lib/identity/IdempotencyKey.ts
+++ b/packages/core/src/lib/identity/IdempotencyKey.ts
@@ -10,7 +10,7 @@
 const ZONED_KEY = /^([a-z0-9-]{1,40})\.([0-9a-z]{6,10})\.([0-9A-Za-z_-]{6,64})$/
 const KEY_CHARACTERS = /^[\x21-\x7e]{1,200}$/
 
-/** Whether a caller's key consists of 1 to 200 printable ASCII characters. @public */
+/** True if a caller's key consists of 1 to 200 printable ASCII characters. @public */
 export function isWellFormedKey(key: string): boolean {
 	return KEY_CHARACTERS.test(key)
 }
--- a/packages/core/src/lib/identity/IdempotencyRecord.ts
+++ b/packages/core/src/lib/identity/IdempotencyRecord.ts
@@ -58,7 +58,7 @@
 	return `${account}/${key}` as RequestId
 }
 
-/** Charge of a claim that the receiver already holds. @public */
+/** Charge of a claim whose record the receiver already holds. @public */
 export interface BillRow {
 	readonly id: RequestId
 	readonly turn: number
@@ -72,8 +72,8 @@
 }
 
 /**
- * Notes that the records of the keys of a box were lost because the box and its replica failed together. A request whose
- * key is older than the loss may have run, and its new owner must not run it again.
+ * Loss of the idempotency records of a box, because the box and its replica failed together. A request whose key is older
+ * than the loss may have run, and the new owner of the key must not run it again.
  * @public
  */
 export interface RecordLoss {
--- a/packages/core/src/lib/identity/ReplicationLog.ts
+++ b/packages/core/src/lib/identity/ReplicationLog.ts
@@ -101,7 +101,7 @@
 		return this.lastIssued
 	}
 
-	/** Whether a change was acknowledged by the replica or, without one, confirmed with the platform. */
+	/** True if a change was acknowledged by the replica or, without one, confirmed with the platform. */
 	isDurable(position: LogPosition): boolean {
 		if (this.viewNumber === 0) return false
 		return position <= this.lastAcknowledged
@@ -127,12 +127,12 @@
 	}
 
 	onAck(view: number, seq: number): void {
-		const flight = this.inFlight
-		if (!flight || view !== this.viewNumber || seq !== flight.batch.seq) return
+		const inFlight = this.inFlight
+		if (!inFlight || view !== this.viewNumber || seq !== inFlight.batch.seq) return
 		this.inFlight = undefined
-		this.lastAcknowledged = flight.position
+		this.lastAcknowledged = inFlight.position
 		this.hasSynced = true
-		for (const row of flight.batch.money) this.source.onAcknowledged(row)
+		for (const row of inFlight.batch.money) this.source.onAcknowledged(row)
 	}
 
 	private nextPosition(): LogPosition {
@@ -185,14 +185,14 @@
 	}
 
 	private resend(): void {
-		const flight = this.inFlight
-		if (!flight || !this.replicaBox) return
-		const ageMs = this.context.now - flight.sentAt
+		const inFlight = this.inFlight
+		if (!inFlight || !this.replicaBox) return
+		const ageMs = this.context.now - inFlight.sentAt
 		const isDue = ageMs >= this.context.self.timing.resendDelayMs
 		if (!isDue || this.context.now - this.lastResentAt < this.context.self.timing.resendDelayMs)
 			return
 		this.lastResentAt = this.context.now
-		this.context.send(this.replicaBox, { kind: 'log', batch: flight.batch })
+		this.context.send(this.replicaBox, { kind: 'log', batch: inFlight.batch })
 	}
 
 	/** Changed records. The bill of a claim that was sent in this view is sent without the rest of the record. */
--- a/packages/core/src/lib/membership/ZoneView.ts
+++ b/packages/core/src/lib/membership/ZoneView.ts
@@ -78,7 +78,7 @@
 	return members.find((member) => member.box === box)
 }
 
-/** Whether this incarnation of the box is a member. @public */
+/** True if this incarnation of the box is a member. @public */
 export function hasIncarnation(
 	members: readonly Member[],
 	box: BoxName,
--- a/packages/core/src/lib/money/BudgetShardWriter.ts
+++ b/packages/core/src/lib/money/BudgetShardWriter.ts
@@ -135,15 +135,15 @@
 
 	/** Delays work without waiting requests, so that several changes share one write. */
 	private canDefer(): boolean {
-		const loading = !this.ledger || !this.shard || this.isPollDue()
-		const rested = this.context.now - this.writtenAt >= MIN_ROUTINE_WRITE_PERIOD_MS
-		return !rested && !loading && !this.isUrgent()
+		const isReadDue = !this.ledger || !this.shard || this.isPollDue()
+		const mayWrite = this.context.now - this.writtenAt >= MIN_ROUTINE_WRITE_PERIOD_MS
+		return !mayWrite && !isReadDue && !this.isUrgent()
 	}
 
 	/** A shard that the zone uses is polled, because another zone may need tokens. */
 	private isPollDue(): boolean {
-		const used = Object.keys(this.ledger?.value.budgets ?? {}).length > 0
-		return used && this.context.now - this.polledAt >= this.hooks.pollPeriodMs()
+		const isUsed = Object.keys(this.ledger?.value.budgets ?? {}).length > 0
+		return isUsed && this.context.now - this.polledAt >= this.hooks.pollPeriodMs()
 	}
 
 	private isBundleNew(): boolean {
--- a/packages/core/src/lib/money/SliceLedger.ts
+++ b/packages/core/src/lib/money/SliceLedger.ts
@@ -117,7 +117,7 @@
 		this.assertNotOverdrawn(budget, slice)
 	}
 
-	/** Returns up to `amount` available tokens to the zone ledger. Returns the amount given back. */
+	/** Returns up to `amount` available tokens to the zone ledger. The result is the amount returned by this call. */
 	returnIdle(budget: BudgetName, amount: Amount): Amount {
 		const returned = Math.max(0, Math.min(amount, this.available(budget)))
 		if (returned === 0) return 0
--- a/packages/core/src/lib/money/TransferRequester.ts
+++ b/packages/core/src/lib/money/TransferRequester.ts
@@ -21,8 +21,8 @@
 	/** Asks the next box unless an answer is pending. Returns false once all have been asked. */
 	askNext(budget: BudgetName, amount: Amount, peers: readonly Member[]): boolean {
 		const round = this.rounds.get(budget) ?? this.begin(budget, peers)
-		const waiting = round.pendingBox !== undefined
-		if (waiting && this.context.now - round.askedAt < ANSWER_TIMEOUT_MS) return true
+		const isAwaitingAnswer = round.pendingBox !== undefined
+		if (isAwaitingAnswer && this.context.now - round.askedAt < ANSWER_TIMEOUT_MS) return true
 		const next = round.remaining.shift()
 		round.pendingBox = next?.box
 		if (!next) return false
--- a/packages/core/src/lib/overload/shedFraction.ts
+++ b/packages/core/src/lib/overload/shedFraction.ts
@@ -14,7 +14,7 @@
 
 /**
  * Fraction of requests that an overloaded box rejects immediately, so that it serves the others in time.
- * `delayMs` is by how much the box's timers fire late.
+ * `delayMs` is the event loop delay: how late the box's timers fire.
  * @public
  */
 export function shedFraction(delayMs: Millis, isLongRequest: boolean): number {
--- a/packages/core/src/lib/placement/ExpiredTargets.ts
+++ b/packages/core/src/lib/placement/ExpiredTargets.ts
@@ -15,9 +15,9 @@
 }
 
 /**
- * Keeps targets in use whose entries expired while the store was unavailable, as live targets cannot renew them then. A
- * target that was not leaving is kept until a grace period after the store is available again. The end of that period is
- * set once, when the entry is first missing, so that repeated loss of contact does not extend it.
+ * Keeps using targets whose entries expired while the store was unavailable, because live targets could not renew them.
+ * A target that was not leaving is kept until a grace period after the store is available again. The end of that period
+ * is set once, when the entry is first missing, so that repeated loss of contact does not extend it.
  * @public
  */
 export class ExpiredTargets {
@@ -28,9 +28,9 @@
 	private graceUntil: Millis = Number.NEGATIVE_INFINITY
 
 	/**
-	 * Records whether the store is reachable. `answeredMs` is the time for which it has answered other boxes. A short time
-	 * tells when the store became available to all boxes. A long one means that only this box had lost contact, perhaps
-	 * together with targets, which renew their entries from now on.
+	 * Records whether the store is reachable. `answeredMs` is the time for which it has answered other boxes. If that time
+	 * is short, the store was unavailable to all boxes, and the grace period starts when it became available. Otherwise
+	 * only this box and perhaps some targets had lost contact, and the grace period starts now.
 	 */
 	noteContact(isReachable: boolean, now: Millis, answeredMs: Millis = 0): void {
 		const availableMs = answeredMs < EXPIRY_GRACE_MS ? answeredMs : 0
@@ -38,7 +38,7 @@
 		this.isStoreReachable = isReachable
 	}
 
-	/** Records that the store was restored from a copy. Live targets renew the entries that the copy lacks. */
+	/** Records that the store was restored from a backup. Live targets renew entries that are missing from it. */
 	noteRestored(now: Millis): void {
 		this.graceUntil = Math.max(this.graceUntil, now + EXPIRY_GRACE_MS)
 	}
--- a/packages/core/src/lib/placement/RestoredTargetFilter.test.ts
+++ b/packages/core/src/lib/placement/RestoredTargetFilter.test.ts
@@ -33,8 +33,10 @@
 			0,
 		)
 		for (const era of [2, 3]) {
-			const copied = entry('a', { bornAt: 5, revision: revision(era, 4) })
-			expect(namesOf(targets.apply([copied], revision(era, 5), era * 10_000))).toEqual(['a leaves'])
+			const restored = entry('a', { bornAt: 5, revision: revision(era, 4) })
+			expect(namesOf(targets.apply([restored], revision(era, 5), era * 10_000))).toEqual([
+				'a leaves',
+			])
 		}
 		const next = entry('a', { bornAt: 6, revision: revision(3, 8) })
 		expect(namesOf(targets.apply([next], revision(3, 8), 40_000))).toEqual(['a'])
@@ -45,11 +47,11 @@
 		const b = entry('b', { revision: revision(1, 2) })
 		targets.apply([b], revision(1, 2), 0)
 		targets.apply([], revision(1, 3), 1_000)
-		const copied = entry('b', { revision: revision(2, 2) })
-		expect(namesOf(targets.apply([copied], revision(2, 2), 5_000))).toEqual([])
+		const restored = entry('b', { revision: revision(2, 2) })
+		expect(namesOf(targets.apply([restored], revision(2, 2), 5_000))).toEqual([])
 		expect(targets.isDue(8_999)).toBe(false)
 		expect(targets.isDue(9_000)).toBe(true)
-		expect(namesOf(targets.apply([copied], revision(2, 2), 9_000))).toEqual(['b'])
+		expect(namesOf(targets.apply([restored], revision(2, 2), 9_000))).toEqual(['b'])
 	})
 
 	it('forgets targets that were removed long ago', () => {
@@ -60,7 +62,7 @@
 		expect(targets.isDue(100_000)).toBe(false)
 	})
 
-	it('uses the renewed entry of a target that was missing from the copy', () => {
+	it('uses the renewed entry of a target that was missing from the backup', () => {
 		const targets = new RestoredTargetFilter()
 		targets.apply([entry('a', { revision: revision(1, 2) })], revision(1, 2), 0)
 		targets.apply([], revision(2, 1), 1_000)
--- a/packages/core/src/lib/placement/RestoredTargetFilter.ts
+++ b/packages/core/src/lib/placement/RestoredTargetFilter.ts
@@ -8,7 +8,7 @@
  * ended targets expire after three heartbeats; by then live targets have renewed theirs.
  */
 const STALE_ENTRY_WINDOW_MS: Millis = 4_000
-/** Must be well above the age of the copies from which the store is restored. */
+/** Must be well above the age of the backups from which the store is restored. */
 const REMOVED_TARGET_RETENTION_MS: Millis = 60_000
 
 /** An incarnation whose entry was removed from the list. */
@@ -18,8 +18,8 @@
 }
 
 /**
- * Corrects target lists after the store was restored from a copy, which is some seconds old and starts a new era: targets
- * that were leaving stay leaving, and entries that had been removed stay removed. Within one era, lists are not changed.
+ * Corrects target lists after the store was restored from a backup, which starts a new era: targets that were leaving
+ * stay leaving, and entries that had been removed since the backup stay removed. Does not change lists within one era.
  * @public
  */
 export class RestoredTargetFilter {
--- a/packages/core/src/lib/placement/TargetAdmission.ts
+++ b/packages/core/src/lib/placement/TargetAdmission.ts
@@ -22,7 +22,7 @@
  */
 export type ClosedCause = 'none' | 'cordoned' | 'backoff' | 'rate' | 'cold'
 
-/** State of a service of which no target accepts requests. @public */
+/** Why and for how long no target of a service accepts requests. @public */
 export interface ClosedService {
 	readonly cause: ClosedCause
 	/** Time until the first target accepts requests again, in ms; undefined if unknown. */
@@ -42,7 +42,7 @@
 const SECOND_MS = 1_000
 
 export interface AdmissionOptions {
-	/** Undefined: neither the limits for cold targets nor advertised limits are enforced. */
+	/** If undefined, neither the limits of cold targets nor advertised limits are enforced. */
 	readonly rateLimits?: TargetRateLimitsOptions
 	/** See {@link DEFAULT_REOPENING_MS}. */
 	readonly reopeningMs?: Millis
--- a/packages/core/src/lib/placement/TargetNotices.ts
+++ b/packages/core/src/lib/placement/TargetNotices.ts
@@ -41,7 +41,7 @@
  */
 const UNLISTED_RETENTION_MS: Millis = 600_000
 const MAX_UNLISTED_NOTICES = 5_000
-/** Tolerated difference between the clocks of a target and a box. Differences above two seconds have occurred. */
+/** Tolerated difference between the clocks of a target and a box. */
 const MAX_CLOCK_SKEW_MS: Millis = 3_000
 
 export const EMPTY_NOTICE: TargetNotice = {
@@ -56,7 +56,7 @@
 /**
  * Notices that targets sent in their responses, kept for each incarnation and apart from the target list. A notice
  * survives a re-read list, an entry that expires and reappears, and an entry older than the notice; a new incarnation
- * starts without one. While the store is unavailable, notices are the only source that tells which targets are leaving.
+ * starts without one. While the store is unavailable, only notices tell which targets are leaving.
  */
 export class TargetNotices {
 	private readonly notices = new Map<TargetIncarnation, StoredNotice>()
@@ -107,8 +107,8 @@
 	}
 
 	/**
-	 * Handles the restart of a target `ageMs` ago by this box's wall clock. Notices received well after the restart came
-	 * from the new incarnation, whose responses can precede its entry while the store is unavailable: they are copied to it.
+	 * Handles the restart of a target `ageMs` ago, by this box's wall clock. While the store is unavailable, responses of
+	 * the new incarnation can arrive before its entry. Therefore, notices received well after the restart are copied to it.
 	 */
 	noteRestart(previous: TargetIdentity, current: TargetIdentity, ageMs: Millis, now: Millis): void {
 		const {
--- a/packages/core/src/lib/placement/TargetRegistry.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.ts
@@ -305,7 +305,7 @@
 	}
 
 	/**
-	 * Records the rate limit, in requests per second for all boxes together, that a target advertised at `reportedAt` of
+	 * Records the rate limit, in requests per second for all boxes together, that a target advertised at `reportedAt` by
 	 * this box's clock; undefined if it advertised none. True if the limit changed.
 	 */
 	noteRate(target: TargetIdentity, perSecond: number | undefined, reportedAt: Millis): boolean {
@@ -391,7 +391,7 @@
 		return this.admission.admits(state, now) && !query.isFull(name)
 	}
 
-	/** Repeats the checks that may fail since the choice of the target, as when a connection had to be opened first. */
+	/** Repeats the checks whose result may have changed since the target was chosen, such as while a connection opened. */
 	private maySend(chosen: TargetEntry, attempt: OpenAttempt, now: Millis): boolean {
 		const state = this.stateOf(chosen)
 		if (!state || !this.admission.isOpen(state, now)) return false
--- a/packages/core/src/lib/placement/TargetState.ts
+++ b/packages/core/src/lib/placement/TargetState.ts
@@ -6,7 +6,7 @@
 import type { TargetNotice } from './TargetNotices.js'
 import type { RateLimitKind } from './TargetRateLimits.js'
 
-/** An attempt to send a request to a target that has not ended. */
+/** An attempt in flight at a target. */
 export interface OpenAttempt {
 	readonly sentAt: Millis
 	/** Expected time to first byte. */
@@ -27,7 +27,7 @@
 	readonly receivedAt: Millis
 }
 
-/** How an attempt ended, as it counts for the health of the target. @public */
+/** How an attempt ended, for the health of the target. @public */
 export type TargetOutcome = 'good' | 'failed' | 'unreachable' | 'full' | 'cancelled'
 
 const FAILURE_HALF_LIFE_MS = 4_000
@@ -93,7 +93,7 @@
 		this.reportedColdUntil = now + coldMs
 	}
 
-	/** Treats the target as cold although no report says so. */
+	/** Treats the target as cold, regardless of its reports. */
 	assumeCold(coldMs: Millis, now: Millis): void {
 		this.assumedColdUntil = now + coldMs
 	}
--- a/packages/core/src/lib/placement/advertisedRateLimit.ts
+++ b/packages/core/src/lib/placement/advertisedRateLimit.ts
@@ -2,7 +2,7 @@
 import type { FleetRateLimit, RateAllocation } from './FleetRateLimiter.js'
 import type { AdvertisedRate } from './TargetNotices.js'
 
-/** Window, in seconds, in which the fleet may exceed an advertised rate by accident. */
+/** Window, in seconds, to which the maximum overrun of an advertised rate applies. */
 const WINDOW_S = 4
 /** Maximum number of requests in a window, as a multiple of the advertised rate. */
 const MAX_OVERRUN_FACTOR = 1.5
--- a/packages/core/src/lib/placement/coldRateLimit.test.ts
+++ b/packages/core/src/lib/placement/coldRateLimit.test.ts
@@ -53,7 +53,7 @@
 	bursts: fc.array(fc.nat(20), { minLength: 1, maxLength: 12 }),
 })
 
-/** Times of the requests to a cold target that all boxes want to send to, without any communication. */
+/** Times at which the boxes send to a cold target, each as soon as its own limiter allows. */
 function timesSent(run: Run): number[] {
 	const all = boxNames(run.fleet)
 	const newBox = all[run.newBox % run.fleet]
--- a/packages/core/src/lib/placement/placementCost.ts
+++ b/packages/core/src/lib/placement/placementCost.ts
@@ -80,7 +80,7 @@
 	return { ms, expectedMs, prefillTokens }
 }
 
-/** Time by which the most overdue first byte of a target is late, in ms: it may be down, unreachable or hung. */
+/** Delay of the most overdue first byte of a target, in ms. The target may be down, unreachable or hung. */
 export function overdueMs(target: TargetState, now: Millis): Millis {
 	let overdue = 0
 	for (const attempt of target.openAttempts) {
@@ -162,11 +162,11 @@
 		reported,
 		target.openAttempts.size + totalPeerWork(target, now).openRequests,
 	)
-	// Requests in free slots count as well: other boxes fill the remaining slots at the same time.
+	// Requests count even while slots are free, because other boxes fill the free slots at the same time.
 	return plainMs * (1 + ahead / slots)
 }
 
-/** Halves a value of the last load report for each half-life since the report. */
+/** A value of the last load report, halved for each half-life since the report. */
 function decayed(value: number, target: TargetState, now: Millis): number {
 	if (value === 0) return 0
 	return value * 2 ** (-(now - target.loadReportedAt) / LOAD_HALF_LIFE_MS)
--- a/packages/core/src/lib/quarantine/RequestQuarantine.test.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.test.ts
@@ -19,11 +19,11 @@
 function crash(
 	quarantine: RequestQuarantine,
 	request: RequestIdentity,
-	life: string,
+	incarnation: string,
 	endedAt: number,
 	startedAt = endedAt - 50,
 ): CrashRecord {
-	const run = { incarnation: brandId<TargetIncarnation>(life), startedAt, endedAt }
+	const run = { incarnation: brandId<TargetIncarnation>(incarnation), startedAt, endedAt }
 	return quarantine.recordCrash(request, run, endedAt)
 }
 
@@ -57,7 +57,8 @@
 
 	it('counts targets that crash at the same time once', () => {
 		const quarantine = new RequestQuarantine()
-		for (const life of ['a', 'b', 'c', 'd']) crash(quarantine, CRASHING, life, 100, 40)
+		for (const incarnation of ['a', 'b', 'c', 'd'])
+			crash(quarantine, CRASHING, incarnation, 100, 40)
 		expect(quarantine.stageOf(CRASHING.fingerprint)).toBe('free')
 	})
 
@@ -78,13 +79,13 @@
 
 	it('releases a request once if another quarantined request may have caused all its crashes', () => {
 		const quarantine = new RequestQuarantine()
-		for (const [life, at] of [
+		for (const [incarnation, at] of [
 			['a', 100],
 			['b', 300],
 			['c', 500],
 		] as const) {
-			crash(quarantine, CRASHING, life, at)
-			crash(quarantine, BYSTANDER, life, at)
+			crash(quarantine, CRASHING, incarnation, at)
+			crash(quarantine, BYSTANDER, incarnation, at)
 		}
 		crash(quarantine, CRASHING, 'd', 520)
 		expect(quarantine.stageOf(BYSTANDER.fingerprint)).toBe('quarantined')
--- a/packages/core/src/lib/quarantine/RequestQuarantine.ts
+++ b/packages/core/src/lib/quarantine/RequestQuarantine.ts
@@ -23,13 +23,13 @@
  */
 const PROBATION_RUNS = 2
 /**
- * Consecutive crashes after which a request is quarantined. Lower values quarantine unrelated requests, higher ones cost
- * more targets.
+ * Consecutive crashes after which a request is quarantined. Lower values quarantine unrelated requests, higher ones let a
+ * request crash more targets.
  */
 const QUARANTINE_RUNS = 3
 /**
- * Time from the last crash to the end of a quarantine, in ms. The request is on probation afterwards, so each end of a
- * quarantine may cost one more target.
+ * Time from the last crash to the end of a quarantine, in ms. The request is on probation afterwards, so it may crash one
+ * more target each time.
  */
 const QUARANTINE_MS: Millis = 600_000
 /**
@@ -120,7 +120,7 @@
 		return changed
 	}
 
-	/** Ends quarantines and removes records that are over their time. Must be called regularly. */
+	/** Ends quarantines and removes records after their retention time. Must be called regularly. */
 	expire(now: Millis): void {
 		for (const record of [...this.records.values()]) {
 			const ageMs = now - record.changedAt
--- a/packages/core/src/lib/quarantine/crashModel.ts
+++ b/packages/core/src/lib/quarantine/crashModel.ts
@@ -54,7 +54,7 @@
 class CrashModel {
 	private readonly quarantine = new RequestQuarantine()
 	private readonly upAt: number[]
-	private readonly lives: number[]
+	private readonly restarts: number[]
 	private readonly crashing: readonly RequestIdentity[]
 	private readonly harmless: readonly RequestIdentity[]
 	private readonly crashesByRequest = new Map<RequestFingerprint, number>()
@@ -67,7 +67,7 @@
 
 	constructor(private readonly options: CrashModelOptions) {
 		this.upAt = Array.from({ length: options.targets }, () => 0)
-		this.lives = Array.from({ length: options.targets }, () => 0)
+		this.restarts = Array.from({ length: options.targets }, () => 0)
 		this.crashing = identities('crashing', options.crashing)
 		this.harmless = identities('harmless', options.harmless)
 	}
@@ -141,16 +141,16 @@
 		const lost = this.runs.filter((run) => targets.includes(run.target))
 		this.runs = this.runs.filter((run) => !targets.includes(run.target))
 		for (const { beganAt, request, target } of lost) {
-			const life = brandId<TargetIncarnation>(`t-${target}@${this.lives[target]}`)
+			const incarnation = brandId<TargetIncarnation>(`t-${target}@${this.restarts[target]}`)
 			this.quarantine.recordCrash(
 				request,
-				{ incarnation: life, startedAt: beganAt, endedAt: this.now },
+				{ incarnation, startedAt: beganAt, endedAt: this.now },
 				this.now,
 			)
 		}
 		for (const target of new Set(targets)) {
 			this.crashes++
-			this.lives[target] = (this.lives[target] ?? 0) + 1
+			this.restarts[target] = (this.restarts[target] ?? 0) + 1
 			this.upAt[target] = this.now + RESTART_MS
 		}
 		for (const run of lost)
--- a/packages/core/src/lib/router/Blackboard.ts
+++ b/packages/core/src/lib/router/Blackboard.ts
@@ -120,7 +120,7 @@
 	return blackboard.idempotency.hasAllRecords && isMember(blackboard, self.box, self.incarnation)
 }
 
-/** Whether an incarnation of a box is a member of the zone's view. @public */
+/** True if an incarnation of a box is a member of the zone's view. @public */
 export function isMember(blackboard: BlackboardView, box: BoxName, incarnation: string): boolean {
 	return blackboard.members.view.members.some(
 		(member) => member.box === box && member.incarnation === incarnation,
--- a/packages/core/src/lib/router/RouterCore.ts
+++ b/packages/core/src/lib/router/RouterCore.ts
@@ -144,7 +144,7 @@
 		return this.context.takeActions()
 	}
 
-	/** Refuses a request whose handling violated an invariant, as one that may have run. */
+	/** Refuses a request whose handling violated an invariant. Reports that it may have run. */
 	private refuseAfterViolation(event: CoreEvent): void {
 		if (event.kind !== 'request') return
 		const { callId } = event.request
--- a/packages/core/src/lib/router/logEvents.ts
+++ b/packages/core/src/lib/router/logEvents.ts
@@ -24,7 +24,7 @@
 	},
 	'request-suspected': {
 		number: 112,
-		text: 'A target ended while it ran a request, which is now suspect; the event describes its crash record',
+		text: 'A target ended while it ran a request; the event describes the crash record of the request',
 	},
 	'suspect-heard': {
 		number: 113,
@@ -89,7 +89,7 @@
 	'store-lost': { number: 314, text: 'The store does not respond' },
 	'ready-changed': { number: 315, text: 'The box became ready for callers, or is no longer ready' },
 	'fleet-changed': { number: 316, text: 'The list of boxes of the fleet has changed' },
-	'fleet-unknown': { number: 317, text: 'The boxes of the fleet could not be read' },
+	'fleet-unknown': { number: 317, text: 'The list of boxes of the fleet could not be read' },
 	'changes-relayed': { number: 318, text: 'Changes of the store were received from another box' },
 	'store-calls': { number: 319, text: 'Calls to the store since the last such event' },
 	'machine-suspended': {
@@ -125,7 +125,7 @@
 	},
 	'target-unreadable': {
 		number: 505,
-		text: 'Entries of the list of targets are invalid: the first of them, and the number of others',
+		text: 'Entries of the target list are invalid; the event shows the first one and the number of others',
 	},
 	'target-lapsed': {
 		number: 506,
@@ -155,7 +155,7 @@
 	},
 	'target-notice-unreadable': {
 		number: 514,
-		text: 'A target sent a backoff or a rate that could not be parsed',
+		text: 'A target sent a backoff or a rate limit that could not be parsed',
 	},
 	'target-heard-leaving': {
 		number: 515,
@@ -163,15 +163,15 @@
 	},
 	'target-named-rate': {
 		number: 516,
-		text: 'A target advertised the request rate that it accepts from all boxes together, per second',
+		text: 'A target advertised a rate limit, in requests per second for all boxes together',
 	},
 	'target-rate-ended': {
 		number: 517,
-		text: 'A target stopped advertising a rate in its answers to this box',
+		text: 'A target no longer advertises a rate limit in its answers to this box',
 	},
 	'target-heard-rate': {
 		number: 518,
-		text: 'Another box reported the rate that a target advertised, or that it ended (-1)',
+		text: 'Another box reported the rate limit that a target advertised; -1 if it no longer advertises one',
 	},
 	'target-header-unknown': {
 		number: 519,
