--- a/packages/core/src/lib/allowance/AllowanceLedger.ts
+++ b/packages/core/src/lib/allowance/AllowanceLedger.ts
@@ -13,7 +13,7 @@
 	spendingLimit: number
 	/** Tokens reserved, charged and lent by this incarnation, minus those borrowed. */
 	used: number
-	/** Reservations are refused until a draw under this configuration version, which lowered the budget; 0 if not frozen. */
+	/** Configuration version that lowered the budget; no reservations until a draw under it. 0 if not frozen. */
 	frozenUntilVersion: number
 	/** Configuration version that last lowered the budget; 0 if none did. */
 	loweredAtVersion: number
--- a/packages/core/src/lib/allowance/AllowanceRow.ts
+++ b/packages/core/src/lib/allowance/AllowanceRow.ts
@@ -14,7 +14,7 @@
 	readonly rates?: Readonly<Record<AccountName, number>>
 	/** Store era in which the box itself wrote this; absent in rows of older versions. */
 	readonly era?: number
-	/** Store era in which the holder claimed the right to draw. It knows draws of other boxes only from then on. */
+	/** Store era in which the holder claimed the right to draw. The holder knows other boxes' draws only from then on. */
 	readonly claimedIn?: number
 }
 
@@ -25,8 +25,8 @@
  */
 export interface AllowanceRow {
 	/**
-	 * Store era in which this row was created, {@link UNKNOWN_ERA} if boxes may have drawn before; absent in rows of older
-	 * versions.
+	 * Store era in which this row was created, or {@link UNKNOWN_ERA} if boxes may have drawn before; absent in rows of
+	 * older versions.
 	 */
 	readonly era?: number
 	/** Newest configuration version known to any writer of this row. */
--- a/packages/core/src/lib/controllers/SliceController.ts
+++ b/packages/core/src/lib/controllers/SliceController.ts
@@ -101,8 +101,8 @@
 	}
 
 	/**
-	 * Allows a reservation to be spent. Returns false while the acknowledged watermark does not cover it. From then on it
-	 * counts towards the watermark until it is settled.
+	 * Allows a reservation to be spent, and counts it towards the watermark until it is settled. Returns false while the
+	 * acknowledged watermark does not cover it.
 	 */
 	commit(budget: BudgetName, amount: Amount): boolean {
 		const committed = this.committed.get(budget) ?? 0
--- a/packages/core/src/lib/identity/IdempotencyRecord.ts
+++ b/packages/core/src/lib/identity/IdempotencyRecord.ts
@@ -72,8 +72,8 @@
 }
 
 /**
- * Loss of the idempotency records of a box, because the box and its replica failed together. A request whose key is older
- * than the loss may have run, and the new owner of the key must not run it again.
+ * Loss of the idempotency records of a box, because the box and its replica failed together. A request whose key is
+ * older than the loss may have run, and the new owner of the key must not run it again.
  * @public
  */
 export interface RecordLoss {
--- a/packages/core/src/lib/placement/TargetRegistry.test.ts
+++ b/packages/core/src/lib/placement/TargetRegistry.test.ts
@@ -53,7 +53,7 @@
 		expect(registry.choose(query({ isFull: () => true }), 1)).toBeUndefined()
 	})
 
-	it('avoids a target that rejects requests until some time has passed', () => {
+	it('avoids a target that rejects requests, for some time', () => {
 		// A target that rejects everything has no load, so its cost must rise through its failures.
 		const registry = registryOf(entry('a'), entry('bb'))
 		const busyPlacements = Array.from({ length: 4 }, () =>
--- a/packages/core/src/lib/placement/placementCost.ts
+++ b/packages/core/src/lib/placement/placementCost.ts
@@ -47,7 +47,7 @@
 const CROSS_ZONE_COST_MS = 4
 /**
  * Cost of opening a connection: a network round trip and the processing time of the target and of this box. The target
- * may also reserve a slot for the connection for a moment.
+ * may also reserve a slot for the connection briefly.
  */
 const NEW_CONNECTION_COST_MS = 6
 const OVERDUE_GRACE_MS = 350
--- a/packages/core/src/lib/quarantine/crashModel.test.ts
+++ b/packages/core/src/lib/quarantine/crashModel.test.ts
@@ -4,9 +4,9 @@
 import { simulateCrashes, type CrashModelOptions, type CrashModelResult } from './crashModel.js'
 
 const TARGETS = 12
-/** Number of simulations; the environment can raise it. */
+/** Number of simulations; `CRASH_RUNS` overrides the default. */
 const RUNS = Number(process.env['CRASH_RUNS'] ?? 60)
-/** Three crashes before the quarantine, those of attempts already running, and one after a release. */
+/** Allows three crashes before the quarantine, those of attempts already running, and one after a release. */
 const MAX_CRASHES = 9
 
 /** Checks simulations with seeded random numbers, with crashes of single targets and racks and runs of up to 3 s. */
@@ -34,20 +34,20 @@
 	fc.assert(property, { numRuns: RUNS, seed: 7 })
 }
 
-describe('requests that crash targets, among others', () => {
-	it('a single one crashes few targets, and at most 1 in 100 harmless tries is refused', () => {
+describe('the quarantine of requests that crash targets', () => {
+	it('lets a single one crash few targets, and refuses at most 1 in 100 harmless tries', () => {
 		checkRuns(fc.integer({ min: 0, max: 1 }), (r) => {
 			return r.maxCrashesPerRequest <= MAX_CRASHES && r.harmlessRefused <= r.harmlessTries / 100
 		})
 	})
 
-	it('several of them crash few targets each, and at most 1 in 5 harmless tries is refused', () => {
+	it('lets each of several crash few targets, and refuses at most 1 in 5 harmless tries', () => {
 		checkRuns(fc.integer({ min: 2, max: 5 }), (r) => {
 			return r.maxCrashesPerRequest <= MAX_CRASHES && r.harmlessRefused <= r.harmlessTries / 5
 		})
 	})
 
-	it('almost all harmless tries are answered once the crashing request is quarantined', () => {
+	it('lets almost all harmless tries be answered once the crashing request is quarantined', () => {
 		const result = simulateCrashes({
 			random: seededRandom(11),
 			crashing: 1,
--- a/packages/core/src/lib/quarantine/crashModel.ts
+++ b/packages/core/src/lib/quarantine/crashModel.ts
@@ -35,7 +35,7 @@
 	readonly request: RequestIdentity
 	readonly isCrashing: boolean
 	readonly target: number
-	readonly beganAt: number
+	readonly startedAt: number
 	readonly endsAt: number
 	readonly attempts: number
 }
@@ -117,7 +117,7 @@
 			request,
 			isCrashing,
 			target,
-			beganAt: now,
+			startedAt: now,
 			endsAt: now + durationMs,
 			attempts: attempts + 1,
 		})
@@ -140,13 +140,9 @@
 	private crash(targets: readonly number[]): void {
 		const lost = this.runs.filter((run) => targets.includes(run.target))
 		this.runs = this.runs.filter((run) => !targets.includes(run.target))
-		for (const { beganAt, request, target } of lost) {
+		for (const { startedAt, request, target } of lost) {
 			const incarnation = brandId<TargetIncarnation>(`t-${target}@${this.restarts[target]}`)
-			this.quarantine.recordCrash(
-				request,
-				{ incarnation, startedAt: beganAt, endedAt: this.now },
-				this.now,
-			)
+			this.quarantine.recordCrash(request, { incarnation, startedAt, endedAt: this.now }, this.now)
 		}
 		for (const target of new Set(targets)) {
 			this.crashes++
--- a/packages/core/src/lib/requests/Run.ts
+++ b/packages/core/src/lib/requests/Run.ts
@@ -23,7 +23,7 @@
 	readonly work: Work
 	readonly priority: Priority
 	readonly repeatable: boolean
-	/** True if this box created the key, so that no one else knows it before the answer starts. */
+	/** True if this box created the key, so that only this box knows it until the answer starts. */
 	readonly hasMintedKey: boolean
 	readonly deadline: Millis
 	readonly startedAt: Millis
--- a/packages/core/src/lib/router/PeerMessage.ts
+++ b/packages/core/src/lib/router/PeerMessage.ts
@@ -51,7 +51,7 @@
 			readonly member: Member
 			readonly view: number
 			readonly bundleVersion: number
-			/** True once a stopping box has nothing left to finish and may be removed from the view. */
+			/** True once a stopping box has finished all its work and may be removed from the view. */
 			readonly drained: boolean
 	  }
 	/** Zone leader to box: state of the zone. */
--- a/packages/core/src/lib/units.ts
+++ b/packages/core/src/lib/units.ts
@@ -4,7 +4,7 @@
 
 /** Whole budget tokens: input and output tokens multiplied by the weights of the model. @public */
 export type Amount = number
-/** Milliseconds. A point in time counts from the Unix epoch, by the clock of the box. @public */
+/** Milliseconds. A point in time is from the Unix epoch or from a monotonic clock of the box. @public */
 export type Millis = number
 
 /** Milliseconds in a second. @public */
