--- a/packages/gateway/src/lib/CrashDetector.ts
+++ b/packages/gateway/src/lib/CrashDetector.ts
@@ -53,8 +53,8 @@
 /**
  * Distinguishes a crashed target from other reasons for an interrupted response, and records a crash for each
  * request that the target was running. If the target closed the connection, a new connection shows at once whether
- * the target still runs: a refused one means that it crashed, an accepted one goes to the pool. If the target does
- * not answer the probe, a later change of the target list decides.
+ * the target still runs: a refused one means that it crashed, an accepted one is added to the pool. If the target
+ * does not answer the probe, a later change of the target list shows whether it crashed.
  */
 export class CrashDetector {
 	private pending: PendingRun[] = []
--- a/packages/gateway/src/lib/CrashProtection.ts
+++ b/packages/gateway/src/lib/CrashProtection.ts
@@ -33,7 +33,7 @@
 	readonly log: (event: LogEvent) => void
 }
 
-/** The reason why a request may not be sent to a target now. */
+/** Why a request may not be sent to a target now. */
 export interface QuarantineHold {
 	readonly detail: string
 	/** Estimated time until the request may run again, in ms. */
@@ -107,7 +107,8 @@
 	}
 
 	/**
-	 * Returns undefined if the request may be sent to a target. `isFirst`: it has not been sent to any target yet.
+	 * Returns undefined if the request may be sent to a target. `isFirst` is true if it has not been sent to any target
+	 * yet.
 	 */
 	checkQuarantine(content: RequestContent, isFirst: boolean): QuarantineHold | undefined {
 		if (!this.quarantine.mayHaveRecord(content.hint)) return undefined
--- a/packages/gateway/src/lib/LeavingTargetSharing.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Time to wait for the target list to report the same change, in ms. With an available store, a change reaches all
- * boxes in 10 to 80 ms. Only targets that the list still calls ready after this time are shared.
+ * Time to wait for the target list to report the same change, in ms. Only targets that the list still shows as ready
+ * after this time are shared.
  */
 const LIST_UPDATE_WAIT_MS = 150
 /** About 1,000 bytes, so that datagrams are not fragmented. */
@@ -31,9 +31,9 @@
 
 /**
  * Tells other boxes which targets are leaving while the target list does not show it, because the store is
- * unavailable or the list is late. Without this, each box would learn it from a response of its own, and requests
- * sent shortly before the target stops would be interrupted. Losing a datagram has no worse effect than that, so
- * nothing is sent twice and received reports are not forwarded. Nothing is sent while no target is leaving.
+ * unavailable or the list is late. Without this, each box would learn it only from the target's response to its own
+ * request, and requests sent shortly before the target stops would be interrupted. A lost datagram has the same
+ * effect for one box, so datagrams are not repeated or forwarded. Nothing is sent while no target is leaving.
  */
 export class LeavingTargetSharing {
 	private pending: TargetIdentity[] = []
--- a/packages/gateway/src/lib/PeerClient.ts
+++ b/packages/gateway/src/lib/PeerClient.ts
@@ -15,11 +15,11 @@
 import { fromWireWork } from './workCodec.js'
 import { ACCEPT_PATH, CHANGES_PATH, DRAWS_PATH, LEND_PATH, OPEN_PATH } from './PeerServer.js'
 
-/** Long, because the tokens of a response that arrives after the timeout are lost to both boxes. */
+/** Long, because tokens in a response that arrives after the timeout are lost to both boxes. */
 const LEND_TIMEOUT_MS = 1_500
-/** A timeout that fires later than this after its due time shows that this box itself was overloaded, in ms. */
+/** A timeout that fires more than this after its due time shows that this box was overloaded, in ms. */
 const LOCAL_DELAY_TOLERANCE_MS = 40
-/** Timeout of calls of which only the status matters, in ms. */
+/** Timeout of calls that return only a status, in ms. */
 const STATUS_TIMEOUT_MS = 160
 /** Time that a response with changes may take beyond the requested wait, in ms. */
 const CHANGES_TIMEOUT_MARGIN_MS = 300
--- a/packages/gateway/src/lib/PeerDatagrams.ts
+++ b/packages/gateway/src/lib/PeerDatagrams.ts
@@ -2,7 +2,7 @@
 import type { ListenAddress } from './listenOn.js'
 import { parseAddress } from './parseAddress.js'
 
-/** Handles a datagram from another box. Returns false if it is of a kind that this handler does not know. */
+/** Handles a datagram from another box. Returns false if the handler does not know its kind. */
 export type DatagramHandler = (bytes: Buffer) => boolean
 
 /** Sends and receives datagrams between boxes. Delivery is not guaranteed. */
--- a/packages/gateway/src/lib/PeerFeedReader.ts
+++ b/packages/gateway/src/lib/PeerFeedReader.ts
@@ -54,12 +54,12 @@
  * large configuration several times over a slow link.
  */
 const NEXT_PEER_DELAY_MS = 150
-/** Boxes queried before the store: the watchers of the own zone and some of other zones. */
+/** Boxes to query before the store: the watchers of this box's zone and some of other zones. */
 const MAX_QUERIED_WATCHERS = 8
 
 /** Queries the boxes that watch the store and applies their changes to the feed of this box. */
 export class PeerFeedReader {
-	/** No other box answered the last query. */
+	/** True if no other box answered the last query. */
 	hasNoReachablePeer = false
 	private readonly backoffUntil = new Map<string, number>()
 
@@ -84,8 +84,8 @@
 	}
 
 	/**
-	 * Moves on to the next box if one has no current data or is slow. Avoids fetching a large listing from several
-	 * boxes.
+	 * Queries the next box only if the previous one has no current data or is slow, to avoid fetching a large listing
+	 * from several boxes.
 	 */
 	private async queryInTurn(
 		addresses: readonly string[],
@@ -93,10 +93,10 @@
 	): Promise<PeerFeedResult> {
 		const queries: Promise<PeerFeedResult>[] = []
 		for (const address of addresses) {
-			const response = queryPeer(address)
-			queries.push(response)
+			const query = queryPeer(address)
+			queries.push(query)
 			const delay = this.options.sleep(NEXT_PEER_DELAY_MS)
-			const result = await Promise.race([firstCurrent(queries), response, delay])
+			const result = await Promise.race([firstCurrent(queries), query, delay])
 			if (result && isCurrent(result)) return result
 		}
 		return firstCurrentOrFallback(queries)
@@ -139,7 +139,6 @@
 	return result.kind === 'heard' || result.kind === 'listed'
 }
 
-/** Queries the first box, then all others at once if it has no current data. */
 async function queryFirstThenAll(
 	[first, ...others]: readonly string[],
 	queryPeer: (address: string) => Promise<PeerFeedResult>,
@@ -150,7 +149,7 @@
 	return isCurrent(result) ? result : firstCurrentOrFallback([firstQuery, ...others.map(queryPeer)])
 }
 
-/** Resolves to the first result with current data; without any, to `stale` if a box answered, else to `silent`. */
+/** Resolves to the first result with current data. Without one, to `stale` if a box answered, else to `silent`. */
 function firstCurrentOrFallback(
 	queries: readonly Promise<PeerFeedResult>[],
 ): Promise<PeerFeedResult> {
@@ -166,6 +165,6 @@
 		const resolveIfCurrent = (result: PeerFeedResult): void => {
 			if (isCurrent(result)) resolve(result)
 		}
-		for (const response of queries) void response.then(resolveIfCurrent)
+		for (const query of queries) void query.then(resolveIfCurrent)
 	})
 }
--- a/packages/gateway/src/lib/PeerServer.ts
+++ b/packages/gateway/src/lib/PeerServer.ts
@@ -15,7 +15,6 @@
 export const ACCEPT_PATH = '/accept'
 /** Endpoint that shows whether this box accepts tokens. */
 export const OPEN_PATH = '/open'
-
 /** Endpoint that stores a replica of the draws of the requesting box. */
 export const DRAWS_PATH = '/draws'
 /** Endpoint that waits for changes in the store. */
@@ -25,7 +24,7 @@
 export interface PeerHandlers {
 	/** Lends tokens of an account. Resolves to undefined if this box has returned all its tokens. */
 	lend(account: AccountName, request: LendRequest): Promise<LendResponse | undefined>
-	/** Work at targets of all boxes except the requesting box, sent with the response to it. */
+	/** Returns the work at targets of all boxes except the requesting box, to be sent with the response. */
 	fleetWork(requestingBox: BoxName): readonly TargetWork[]
 	/** Accepts tokens that were held under a version of the budgets. Returns false if this box cannot use them. */
 	acceptTokens(account: AccountName, tokens: number, budgetsVersion: number): boolean
--- a/packages/gateway/src/lib/QuarantineSharing.ts
+++ b/packages/gateway/src/lib/QuarantineSharing.ts
@@ -20,20 +20,20 @@
  */
 const BATCH_WINDOW_MS = 20
 const GOSSIP_INTERVAL_MS = 500
-/** Random peers per gossip round: a record that was lost reaches a fleet of 500 in 4 or 5 rounds. */
+/** Random peers per gossip round. */
 const GOSSIP_FANOUT = 3
-/** Age up to which records are gossiped, in ms: a caller that retries does so within this time. */
+/** Age up to which records are gossiped, in ms. Callers that retry do so within this time. */
 const MAX_GOSSIP_AGE_MS = 120_000
 /** About 1,200 bytes, so that datagrams are not fragmented. */
 const MAX_RECORDS_PER_DATAGRAM = 4
-/** If there are more records, a random range of this size is sent. */
+/** Records sent at once; of a longer list, a random range of this size. */
 const MAX_RECORDS_PER_SEND = 40
 
 /**
  * Exchanges crash records with other boxes by datagram, so that it also works while the store is unavailable.
  * Changed records go to all boxes at once. To make up for lost datagrams, network partitions and restarts, each box
  * also gossips recent records of quarantined requests and requests on probation to a few random boxes. A box that
- * receives a record older than its own answers with its own. Nothing is sent while no target crashes.
+ * receives a record older than its own shares its own again. Nothing is sent while no target crashes.
  */
 export class QuarantineSharing {
 	private pending = new Map<string, CrashRecord>()
--- a/packages/gateway/src/lib/QuarantineStore.ts
+++ b/packages/gateway/src/lib/QuarantineStore.ts
@@ -88,8 +88,8 @@
 	}
 
 	/**
-	 * Forgets what was stored if the store has been restored from a backup, so that this box saves its records
-	 * again.
+	 * Discards the last known contents of the store if it has been restored from a backup, so that this box saves its
+	 * records again.
 	 */
 	private resetOnNewEra(): void {
 		const { era } = this.options.store
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -8,7 +8,7 @@
 	readonly datagrams: PeerDatagrams
 	/** Addresses of the boxes to which this box sends its work. */
 	readonly peers: () => readonly string[]
-	/** This box sends the work of the boxes that report to it together with its own. */
+	/** Returns true if this box sends the work of the boxes that report to it together with its own. */
 	readonly isHub: () => boolean
 	readonly now: () => number
 }
--- a/packages/gateway/src/lib/workCodec.ts
+++ b/packages/gateway/src/lib/workCodec.ts
@@ -3,7 +3,7 @@
 /** Work in progress at targets, as one box reports it to another. */
 export interface WorkMessage {
 	readonly box: BoxName
-	/** The sender is a hub, and its work includes that of the boxes that report to it. */
+	/** True if the sender is a hub. Its work then includes that of the boxes that report to it. */
 	readonly isHub: boolean
 	readonly work: readonly TargetWork[]
 }
