--- a/apps/stallwing/src/lib/OperatorConfig.ts
+++ b/apps/stallwing/src/lib/OperatorConfig.ts
@@ -59,7 +59,7 @@
 	}
 }
 
-/** Name and private key of the signing operator. @throws CommandError if the settings name none. */
+/** Returns the name and private key of the signing operator. @throws CommandError if the settings name none. */
 export function requireSigner(config: OperatorConfig): { name: string; privateKey: string } {
 	if (!config.operator)
 		throw new CommandError(
--- a/apps/stallwing/src/lib/commands/budgetCommands.ts
+++ b/apps/stallwing/src/lib/commands/budgetCommands.ts
@@ -117,7 +117,7 @@
 	return bundle.budgets.find((row) => row.name === budget)?.prepaid ?? 0
 }
 
-/** Amounts that running routers report, by `<box>#<incarnation>/<budget>`. */
+/** Returns the amounts that running routers report, by `<box>#<incarnation>/<budget>`. */
 function reportedBudgets(statuses: readonly (RouterStatus | undefined)[]) {
 	const reported = new Map<string, { billed: number; reserved: number }>()
 	for (const status of statuses) {
--- a/apps/stallwing/src/lib/losses/LossCause.ts
+++ b/apps/stallwing/src/lib/losses/LossCause.ts
@@ -1,4 +1,4 @@
-/** Outcomes of a request that the boxes' log lines show. */
+/** Outcomes of a request, as derived from the log lines of boxes. */
 export const LOSS_CAUSES = [
 	'in-time',
 	'late-at-box',
--- a/apps/stallwing/src/lib/losses/LossCounter.test.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.test.ts
@@ -53,7 +53,7 @@
 		})
 	})
 
-	it('attributes refusals and failures to their causes on both interfaces', () => {
+	it('attributes refusals and failures at routers and gateways to their causes', () => {
 		const refused = (kind: string, detail = '') => logLine('request-refused', { kind, detail })
 		expect(
 			countCauses(
--- a/apps/stallwing/src/lib/losses/LossCounter.ts
+++ b/apps/stallwing/src/lib/losses/LossCounter.ts
@@ -11,15 +11,15 @@
 
 /** Result of a {@link LossCounter}; causes and groups with the most losses come first. */
 export interface LossReport {
-	/** All requests, with or without a logged end. */
+	/** Number of all requests, with or without a logged end. */
 	readonly requests: number
-	/** Requests that were sent to more than one target. */
+	/** Number of requests that were sent to more than one target. */
 	readonly repeated: number
-	/** Lines that are truncated or not log lines. */
+	/** Number of lines that are truncated or not log lines. */
 	readonly foreignLines: number
 	readonly causes: readonly (readonly [LossCause, number])[]
 	readonly groups: Readonly<Record<LossGroup, readonly (readonly [string, LossCounts])[]>>
-	/** Counts for each second since the end of the first request. */
+	/** Counts for each second since the first request ended. */
 	readonly seconds: readonly LossCounts[]
 }
 
@@ -94,16 +94,16 @@
 	}
 }
 
-/** Sorts causes by number, largest first; `in-time` is last. */
+/** Sorts causes by count, largest first; `in-time` is last. */
 export function sortCauses(counts: LossCounts): (readonly [LossCause, number])[] {
 	const order = (cause: LossCause): number => CAUSE_ORDER.get(cause) ?? 0
-	return [...counts].sort(([a, m], [b, n]) => {
-		if (a === 'in-time' || b === 'in-time') return a === 'in-time' ? 1 : -1
-		return n - m || order(a) - order(b)
+	return [...counts].sort(([causeA, countA], [causeB, countB]) => {
+		if (causeA === 'in-time' || causeB === 'in-time') return causeA === 'in-time' ? 1 : -1
+		return countB - countA || order(causeA) - order(causeB)
 	})
 }
 
-/** Number of requests that were not answered in time. */
+/** Counts the requests that were not answered in time. */
 export function countLost(counts: LossCounts): number {
 	let lost = 0
 	for (const [cause, count] of counts) if (cause !== 'in-time') lost += count
--- a/apps/stallwing/src/lib/losses/causeOf.ts
+++ b/apps/stallwing/src/lib/losses/causeOf.ts
@@ -1,7 +1,7 @@
 import type { LossCause } from './LossCause.js'
 import type { LogLine } from './readLogLine.js'
 
-/** Loss causes by refusal kind, of both interfaces. */
+/** Loss causes by refusal kind, of routers and gateways. */
 const CAUSE_BY_REFUSAL_KIND: Readonly<Record<string, LossCause>> = {
 	'budget-unknown': 'refused-budget-unknown',
 	'budget-spent': 'refused-budget-spent',
@@ -19,11 +19,11 @@
 	'caller-gone': 'caller-left',
 }
 
-/** A late response is due to the box if it sent the request after this fraction of the limit. */
+/** A late response is attributed to the box if the box sent the request after this fraction of the limit. */
 const MAX_BOX_TIME_FRACTION = 0.5
 const MIN_ERROR_STATUS = 500
 
-/** Outcome that a log line reports; undefined if the line does not report the end of a request. */
+/** Returns the outcome that a log line reports, or undefined if it does not report the end of a request. */
 export function causeOf({ name, fields }: LogLine): LossCause | undefined {
 	switch (name) {
 		case 'request-answered':
--- a/apps/stallwing/src/lib/routerStatus.ts
+++ b/apps/stallwing/src/lib/routerStatus.ts
@@ -15,7 +15,7 @@
 export interface NoticedTarget {
 	readonly target: string
 	readonly service: string
-	/** Time since it first announced that it leaves, in ms; undefined if it did not. */
+	/** Time since it first announced that it is leaving, in ms; undefined if it did not. */
 	readonly leavingForMs?: number
 	/** Time until the backoff that it requested ends, in ms; 0 if there is none. */
 	readonly backoffMs: number
--- a/internal/bench/src/capacity.ts
+++ b/internal/bench/src/capacity.ts
@@ -42,7 +42,6 @@
 measureLedgerSize()
 measureBoxHeap()
 
-/** Control cost without requests, by boxes per zone. */
 function measureByBoxesPerZone(): void {
 	printSection('idle, by boxes per zone (1 zone)')
 	const rows = [2, 4, 8, 16].map((boxes): [number, ControlCost] => {
@@ -51,7 +50,6 @@
 	printControlCost(rows)
 }
 
-/** Control cost by requests per second and box. */
 function measureByRequestRate(): void {
 	printSection('by requests per second and box (1 zone of 8 boxes, 40 accounts)')
 	const rows = [2, 5, 10, 15].map((rate): [number, ControlCost] => {
@@ -65,7 +63,6 @@
 		)
 }
 
-/** Control cost by number of budgets in use. */
 function measureByBudgetCount(): void {
 	printSection('by budgets in use (1 zone of 4 boxes, 20 requests per second)')
 	const rows = [10, 40, 160, 640].map((accounts): [number, ControlCost] => {
@@ -74,7 +71,6 @@
 	printControlCost(rows)
 }
 
-/** Control cost by number of zones. */
 function measureByZoneCount(): void {
 	printSection('by zones (2 boxes each, 40 accounts, 4 requests per second and zone)')
 	const rows = [1, 2, 4, 8].map((zones): [number, ControlCost] => {
@@ -121,7 +117,7 @@
 	)
 }
 
-/** Size of a zone ledger value and time to copy and encode it, by number of budgets. */
+/** Measures the size of a zone ledger value and the time to copy and encode it, by number of budgets. */
 function measureLedgerSize(): void {
 	printSection('zone ledger value by budgets (16 boxes hold a slice of each)')
 	const sizes: Point[] = []
@@ -159,7 +155,7 @@
 	return (performance.now() - startedAt) / rounds
 }
 
-/** Heap use of idempotency records and budget slices. */
+/** Measures the heap use of idempotency records and budget slices. */
 function measureBoxHeap(): void {
 	printSection('heap of a box')
 	printFit('  bytes by idempotency records', measureHeapBytes([5_000, 20_000, 80_000], makeRecords))
--- a/internal/bench/src/gatewayLoad.ts
+++ b/internal/bench/src/gatewayLoad.ts
@@ -16,7 +16,7 @@
 export interface LoadReport {
 	readonly answered: number
 	readonly failed: number
-	/** Median time to the first byte of an answer. */
+	/** Median time to the first byte of a response. */
 	readonly firstByteP50Ms: number
 	readonly firstByteP90Ms: number
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-/** Returns the time to the first byte in ms, or undefined without a complete answer. */
+/** Returns the time to the first byte in ms, or undefined without a complete response. */
 function sendRequest(port: number, id: string, index: number): Promise<number | undefined> {
 	const isPlain = index % 10 < PLAIN_SHARE * 10
 	const startedAt = performance.now()
--- a/internal/bench/src/link.ts
+++ b/internal/bench/src/link.ts
@@ -1,7 +1,7 @@
 /**
  * Measures the CPU time of messages between two boxes, sender and receiver together, over HTTP/2 on the
- * loopback address: `npm run bench:link`. First it varies the rate of frames with one message each, then
- * the limit of frames per second for 100 messages per second.
+ * loopback address: `npm run bench:link`. The first part varies the rate of frames with one message each,
+ * the second the limit of frames per second at 100 messages per second.
  */
 import { brandId, type BoxName, type Incarnation, type PeerMessage } from '@stallwing/core'
 import { Metrics, PeerLinks, PeerServer } from '@stallwing/router'
--- a/internal/bench/src/path.ts
+++ b/internal/bench/src/path.ts
@@ -29,7 +29,7 @@
 	const idle = await residentMegabytes(router)
 	await runRound(`${router.url}/services/meters/x`, headers, 16, 1_500)
 	print(
-		'callers  straight/s  routed/s  ratio  straight p50/p99 ms  routed p50/p99 ms  added p50/p99 ms  failed',
+		'callers    direct/s  routed/s  ratio    direct p50/p99 ms  routed p50/p99 ms  added p50/p99 ms  failed',
 	)
 	for (const callers of CALLER_COUNTS) {
 		const direct = await runRound(`${service}/x`, {}, callers, ROUND_DURATION_MS)
--- a/internal/demo/src/lib/fleetTestHelpers.ts
+++ b/internal/demo/src/lib/fleetTestHelpers.ts
@@ -148,7 +148,6 @@
 	return Number(match?.[1]) + 3 * Number(match?.[2])
 }
 
-/** Waits for a number of milliseconds. */
 export function sleep(ms: number): Promise<void> {
 	return new Promise((resolve) => setTimeout(resolve, ms))
 }
--- a/internal/demo/src/lib/operations.test.ts
+++ b/internal/demo/src/lib/operations.test.ts
@@ -24,7 +24,7 @@
 	if (budget) budget.prepaid++
 }
 
-async function waitUntilInForce(version: number): Promise<number> {
+async function waitUntilActive(version: number): Promise<number> {
 	const startedAt = performance.now()
 	for (;;) {
 		const statuses = await Promise.all(fleet.routers.map(fetchStatus))
@@ -43,7 +43,7 @@
 			fleet.runAs('approver', 'bundle', 'accept', secondHash),
 		])
 		expect(results.map((result) => result.code).sort()).toEqual([0, 4])
-		await waitUntilInForce(2)
+		await waitUntilActive(2)
 	})
 
 	it('rejects approval by the author of a bundle, and lists the errors of an invalid bundle', async () => {
@@ -71,7 +71,7 @@
 			if (target) target.leaving = true
 		})
 		await fleet.runAs('author', 'bundle', 'accept', hash)
-		await waitUntilInForce(3)
+		await waitUntilActive(3)
 		const before = await countRequestsRunAt(engine?.url ?? '')
 		for (let i = 0; i < 12; i++)
 			expect((await sendRequest(fleet.routers[i % 2]?.url ?? '')).status).toBe(200)
--- a/internal/demo/src/main.ts
+++ b/internal/demo/src/main.ts
@@ -10,7 +10,7 @@
 const keepsRunning = args.includes('--stay')
 const readyFile = args.includes('--ready-file') ? args[args.indexOf('--ready-file') + 1] : undefined
 
-// Keeps a closed pipe from ending the demo before it stops its processes.
+// A closed pipe must not end the demo before it has stopped its processes.
 process.stdout.on('error', () => undefined)
 
 const fleet = new DemoFleet()
--- a/internal/soak/src/lib/Callers.ts
+++ b/internal/soak/src/lib/Callers.ts
@@ -160,7 +160,7 @@
 			if (call.id === id && call.box === box) this.forwardAnswer(callId, call, box)
 	}
 
-	/** Resets all calls at a stopped box. */
+	/** Ends all calls at a stopped box. Their outcome is unknown. */
 	onBoxDown(box: SimBox): void {
 		for (const [callId, call] of [...this.openCalls]) {
 			if (call.box !== box) continue
--- a/internal/soak/src/lib/Simulation.test.ts
+++ b/internal/soak/src/lib/Simulation.test.ts
@@ -13,10 +13,7 @@
 	return simulation.trace
 }
 
-/**
- * Seeds that once violated an invariant. A change of timing alters the course of a seed, so they now
- * serve as a sample of difficult runs.
- */
+/** Seeds that violated an invariant in an earlier version. */
 const REGRESSION_SEEDS = [
 	3, 14, 18, 1025, 1061, 1321, 1353, 1650, 1662, 1908, 1920, 1939, 2246, 2252, 2723, 10000, 11116,
 	13171, 14158, 15127, 24042, 120130, 210300, 230284, 310046, 320399,
@@ -27,7 +24,7 @@
 		runSeeds(100, 30)
 	})
 
-	it('hold for seeds that once violated them', () => {
+	it('hold for seeds that violated them in an earlier version', () => {
 		for (const seed of REGRESSION_SEEDS) runSeeds(seed, 1)
 	})
 
--- a/internal/soak/src/lib/checkInvariants.ts
+++ b/internal/soak/src/lib/checkInvariants.ts
@@ -79,7 +79,7 @@
 		}
 }
 
-/** Checks that each answered request is billed exactly once, within the amount in doubt. */
+/** Checks that each answered request is billed once. The amount in doubt covers bills that were lost. */
 function checkBills(simulation: Simulation, totals: ReadonlyMap<string, BudgetTotals>): void {
 	const minBilled = new Map<string, number>()
 	const maxBilled = new Map<string, number>()
--- a/packages/gateway/src/lib/LeavingTargetSharing.test.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.test.ts
@@ -25,7 +25,7 @@
 /** Boxes without a store, so that the target list keeps showing the target as ready. */
 class Fleet {
 	datagramCount = 0
-	/** All datagrams are lost. */
+	/** True if all datagrams are lost. */
 	isPartitioned = false
 	readonly registries: readonly TargetRegistry[]
 	readonly logEvents: LogEvent[] = []
@@ -46,7 +46,7 @@
 		for (const registry of this.registries) registry.replace(entries, Date.now())
 	}
 
-	/** A box receives a response that says that the target is leaving. */
+	/** Simulates a response to a box that says that the target is leaving. */
 	noteLeaving(box: number): void {
 		if (this.registries[box]?.noteLeaving(READY, Date.now())) this.sharings[box]?.share(READY)
 	}
--- a/packages/gateway/src/lib/QuarantineStore.test.ts
+++ b/packages/gateway/src/lib/QuarantineStore.test.ts
@@ -17,7 +17,7 @@
 	return { fingerprint: brandId<RequestFingerprint>(hexDigit.repeat(32)), hint: 1 }
 }
 
-/** The parts of a box that save quarantined requests. */
+/** The parts of a box that store quarantined requests. */
 class Box {
 	readonly quarantine = new RequestQuarantine()
 	readonly logEvents: LogEvent[] = []
--- a/packages/gateway/src/lib/RateSharing.test.ts
+++ b/packages/gateway/src/lib/RateSharing.test.ts
@@ -6,7 +6,7 @@
 
 const RATE = 1.4
 const WINDOW_MS = 4_000
-/** Tolerated by a target in a window: 1.5 times the advertised rate, and five requests. */
+/** Requests that a target tolerates in a window: 1.5 times the advertised rate, and five more. */
 const MAX_REQUESTS_IN_WINDOW = 13
 const STEP_MS = 20
 
@@ -44,7 +44,7 @@
 			return fleet.requests.length
 		}
 		expect(countRequests(false)).toBeGreaterThanOrEqual(boxes)
-		// Requests in progress when the first response arrives, and the advertised rate.
+		// Requests sent before the first response arrives are not limited.
 		const inProgress = boxes * 4 * 0.1
 		expect(countRequests(true)).toBeLessThanOrEqual(inProgress + MAX_REQUESTS_IN_WINDOW)
 	})
--- a/packages/router/src/lib/AdminServer.ts
+++ b/packages/router/src/lib/AdminServer.ts
@@ -8,7 +8,7 @@
 	explain(request: string): readonly LogLine[]
 }
 
-/** HTTP server for operators: the status of the router and the log lines about a request. */
+/** HTTP server for operators. Serves the status of the router and the log lines about a request. */
 export class AdminServer {
 	private readonly server: Server
 
--- a/packages/router/src/lib/BundleFetcher.ts
+++ b/packages/router/src/lib/BundleFetcher.ts
@@ -28,7 +28,7 @@
 		this.store = new BundleStore(platform)
 	}
 
-	/** Document of the latest fetched version as JSON; empty for any other version. */
+	/** Returns the document of the latest fetched version as JSON, or an empty string for any other version. */
 	document(version: number): string {
 		return this.latest?.version === version ? JSON.stringify(this.latest.document) : ''
 	}
--- a/packages/router/src/lib/CallerServer.ts
+++ b/packages/router/src/lib/CallerServer.ts
@@ -10,7 +10,7 @@
 /** Callbacks of the daemon that the caller server uses. */
 export interface CallerHandlers {
 	onCall(call: OpenCall): void
-	/** The connection has closed; `answered` is true if the complete response was sent. */
+	/** Called when the connection has closed. `answered` is true if the complete response was sent. */
 	onClosed(callId: CallId, answered: boolean): void
 	isReady(): boolean
 	metrics(): string
@@ -110,7 +110,7 @@
 		sink.fail(refusal, undefined)
 	}
 
-	/** Reads the complete body; undefined if it is too large. */
+	/** Reads the complete body. Resolves to undefined if it is too large. */
 	private async readBody(request: IncomingMessage): Promise<Buffer | undefined> {
 		const chunks: Buffer[] = []
 		let bytes = 0
--- a/packages/router/src/lib/LogWriter.ts
+++ b/packages/router/src/lib/LogWriter.ts
@@ -35,7 +35,7 @@
 		this.write(`${JSON.stringify(line)}\n`)
 	}
 
-	/** Kept log lines about a request, oldest first. */
+	/** Returns the kept log lines about a request, oldest first. */
 	linesOfRequest(request: string): LogLine[] {
 		const ordered = [
 			...this.recentLines.slice(this.nextIndex),
--- a/packages/router/src/lib/OutgoingCall.ts
+++ b/packages/router/src/lib/OutgoingCall.ts
@@ -1,4 +1,4 @@
-/** The first caller's request of a run, in the form in which it is sent to a target. */
+/** Request of a run's first caller, in the form in which it is sent to a target. */
 export interface OutgoingCall {
 	readonly method: string
 	/** Path on the target. */
--- a/packages/router/src/lib/PeerLinks.ts
+++ b/packages/router/src/lib/PeerLinks.ts
@@ -9,10 +9,10 @@
 
 const debug = createDebug('stallwing:peer')
 
-/** Frames queued for one box; while its queue is full, further messages to it are dropped. */
+/** Frames queued for one box. While its queue is full, further messages to it are dropped. */
 const MAX_QUEUED_FRAMES = 2_000
 const IDLE_TIMEOUT_MS = 30_000
-/** Default frame rate limit; `docs/CAPACITY.md` has the processor time of a frame. */
+/** A frame costs far more CPU time than a message in it; see `docs/CAPACITY.md`. */
 const DEFAULT_FRAMES_PER_SECOND = 400
 /** Capacity of the token bucket, in seconds of the frame rate. */
 const BURST_SECONDS = 0.25
@@ -41,7 +41,7 @@
 		private readonly box: BoxName,
 		private readonly tls: PeerTls | undefined,
 		private readonly metrics: Metrics,
-		/** Rate limit in frames per second over all boxes; above it, messages wait for the next frame. */
+		/** Rate limit in frames per second to all boxes together; above it, messages wait for the next frame. */
 		private readonly framesPerSecond = DEFAULT_FRAMES_PER_SECOND,
 	) {
 		this.frameTokens = framesPerSecond * BURST_SECONDS
@@ -117,7 +117,7 @@
 		this.frameTokens = Math.min(this.framesPerSecond * BURST_SECONDS, this.frameTokens + added)
 	}
 
-	/** Waits for the next frame token: a frame costs far more processor time than a message in it. */
+	/** Schedules a flush for the next frame token. */
 	private scheduleFlush(): void {
 		this.flushTimer = setTimeout(() => this.flush(), 1_000 / this.framesPerSecond)
 		this.isFlushScheduled = true
--- a/packages/router/src/lib/RunResponse.ts
+++ b/packages/router/src/lib/RunResponse.ts
@@ -16,7 +16,7 @@
 
 	constructor(
 		readonly id: RequestId,
-		/** Request in the form in which it is sent to a target; each attempt of the run uses it. */
+		/** Request that each attempt of the run sends to a target. */
 		readonly outgoing: OutgoingCall,
 	) {}
 
--- a/packages/router/src/lib/SseReader.ts
+++ b/packages/router/src/lib/SseReader.ts
@@ -2,7 +2,7 @@
 export interface StreamProgress {
 	/** Events that can be forwarded immediately. */
 	readonly ready: readonly Buffer[]
-	/** The event that ends the response and all later ones; withheld until the charge is recorded. */
+	/** The final event of the response and any later events; withheld until the charge is recorded. */
 	readonly withheld: readonly Buffer[]
 }
 
--- a/packages/router/src/lib/peerTransport.ts
+++ b/packages/router/src/lib/peerTransport.ts
@@ -14,7 +14,7 @@
 const PING_INTERVAL_MS = 5_000
 const PING_TIMEOUT_MS = 2_000
 
-/** Reads the key files that the settings name; undefined if mTLS is not configured. */
+/** Reads the key files that the settings name. Returns undefined if mTLS is not configured. */
 export function readPeerTls(settings: RouterSettings): PeerTls | undefined {
 	const { tls } = settings
 	if (!tls) return undefined
--- a/packages/router/src/lib/readCall.ts
+++ b/packages/router/src/lib/readCall.ts
@@ -33,7 +33,7 @@
 }
 
 const CHAT_PATH = '/v1/chat/completions'
-/** Length of a body hash in base64url: 22 characters hold about 128 bits. */
+/** Length of a body hash in base64url, about 128 bits. */
 const BODY_HASH_CHARS = 22
 const SERVICE_PATH_PATTERN = /^\/services\/([a-z0-9][a-z0-9-]{0,39})(\/.*)?$/
 
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Hash of a bearer key, as it stands in the bundle. @public */
+/** Hashes a bearer key in the format that the bundle uses. @public */
 export function hashKey(key: string): string {
 	return `sha256:${createHash('sha256').update(key).digest('hex')}`
 }
@@ -83,10 +83,10 @@
 	const match = SERVICE_PATH_PATTERN.exec(path)
 	if (!match) return E.left(notRun('unknown-service', `no such path: ${path}`))
 	const service = match[1] as string
-	const rest = raw.path.slice(`/services/${service}`.length) || '/'
+	const targetPath = raw.path.slice(`/services/${service}`.length) || '/'
 	return E.right({
 		work: { kind: 'service', service },
-		outgoing: { method, path: rest, body, contentType },
+		outgoing: { method, path: targetPath, body, contentType },
 	})
 }
 
--- a/rolldown.config.js
+++ b/rolldown.config.js
@@ -2,7 +2,7 @@
 
 const packages = ['core', 'store', 'telemetry', 'gateway']
 
-/** Bundles the program into one file, so that a start reads only that file. */
+/** Bundles the program into one file, so that the process reads only one file at startup. */
 const config = defineConfig({
 	input: 'platform/src/main.ts',
 	platform: 'node',
