--- a/apps/stallwing/src/lib/commands/quarantineCommands.ts
+++ b/apps/stallwing/src/lib/commands/quarantineCommands.ts
@@ -50,10 +50,7 @@
 		const status = await requestRelease(url, fingerprint)
 		if (status === undefined) continue
 		if (status !== 200)
-			throw new CommandError(
-				EXIT_CODES.conflict,
-				`nothing is held against a request ${fingerprint}`,
-			)
+			throw new CommandError(EXIT_CODES.conflict, `request ${fingerprint} has no crash record`)
 		print(`released ${fingerprint}`)
 		return
 	}
--- a/packages/gateway/src/lib/QuarantineStore.test.ts
+++ b/packages/gateway/src/lib/QuarantineStore.test.ts
@@ -123,7 +123,7 @@
 		expect(later.stageOf('1')).toBe('free')
 	})
 
-	it('replaces an unreadable document by its own records', async () => {
+	it('replaces an unreadable document with its own records', async () => {
 		const box = new Box(store, 'a')
 		box.crash('1', 3)
 		store.put(KEY, '{"writtenAt":"now"}')
--- a/packages/gateway/src/lib/WorkSharing.ts
+++ b/packages/gateway/src/lib/WorkSharing.ts
@@ -10,6 +10,7 @@
 	readonly peers: () => readonly string[]
 	/** Returns true if this box sends the work of the boxes that report to it together with its own. */
 	readonly isHub: () => boolean
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 }
 
