--- a/packages/gateway/src/lib/LeavingTargetSharing.test.ts
+++ b/packages/gateway/src/lib/LeavingTargetSharing.test.ts
@@ -129,7 +129,8 @@
 		expect(fleet.isTargetAvailable(1)).toBe(false)
 	})
 
-	// Requests in progress at termination are interrupted. Without sharing, some boxes learn too late that the target is leaving.
+	// Requests in progress at termination are interrupted. Without sharing, some boxes learn too late that the target
+	// is leaving.
 	it.each([7, 75, 499])(
 		'leaves no request in progress at a target that terminates 2 s after its notice, with %i boxes',
 		(boxes) => {
