--- a/packages/gateway/src/lib/targetNotices.test.ts
+++ b/packages/gateway/src/lib/targetNotices.test.ts
@@ -1,7 +1,5 @@
-/**
- * A box must act on the leaving header and the backoff in responses, because the list of targets may be outdated. A
- * target that rejects requests quickly otherwise looks the cheapest.
- */
+// Guards against boxes that ignore the leaving headers and backoffs in responses. The list of targets may be outdated,
+// and a target that rejects requests quickly would look the cheapest.
 import { afterEach, describe, expect, it } from 'vitest'
 import {
 	DEFAULT_BOX_COUNT,
@@ -10,7 +8,7 @@
 	LEAVING_NOTICE,
 	NoticeFleet,
 	TARGET_COUNT,
-	BACKOFF_ANSWER,
+	BACKOFF_RESPONSE,
 } from './testNoticeFleet.js'
 
 /** Duration of the requests, in ms: the drain delay and enough time after it. */
@@ -39,7 +37,7 @@
 	})
 
 	it('stop a box from sending to a target during its backoff', async () => {
-		fleet = new NoticeFleet({ t0: BACKOFF_ANSWER, t1: BACKOFF_ANSWER })
+		fleet = new NoticeFleet({ t0: BACKOFF_RESPONSE, t1: BACKOFF_RESPONSE })
 		await fleet.start()
 		await fleet.sendRequests(['/once/', '/again/'], BACKOFF_TEST_MS)
 		expect(fleet.backoffCount).toBeGreaterThan(DEFAULT_BOX_COUNT)
@@ -49,7 +47,7 @@
 	it('make a box refuse requests while all targets back off, with the delay until the first accepts work', async () => {
 		const answers = Array.from(
 			{ length: TARGET_COUNT },
-			(_, i) => [`t${i}`, BACKOFF_ANSWER] as const,
+			(_, i) => [`t${i}`, BACKOFF_RESPONSE] as const,
 		)
 		fleet = new NoticeFleet(Object.fromEntries(answers))
 		await fleet.start()
--- a/packages/gateway/src/lib/targetRates.test.ts
+++ b/packages/gateway/src/lib/targetRates.test.ts
@@ -1,7 +1,5 @@
-/**
- * The rate limit in the responses of a target must be divided among the boxes. An overloaded target has little work
- * and otherwise looks the cheapest.
- */
+// Guards against boxes that together exceed the rate limit in the responses of a target. An overloaded target has little
+// work and would look the cheapest.
 import { maxCountInWindow } from '@stallwing/core'
 import { afterEach, describe, expect, it } from 'vitest'
 import { TEST_DIALECT } from './testBox.js'
@@ -10,14 +8,14 @@
 const BOXES = 7
 /** Rate limit of each limited target, in requests per second. */
 const RATE_LIMIT = 1.3
-const LIMITED_ANSWER = {
+const LIMITED_RESPONSE = {
 	...OK,
-	notice: { [TEST_DIALECT.headers.requestRate]: String(RATE_LIMIT) },
+	noticeHeaders: { [TEST_DIALECT.headers.requestRate]: String(RATE_LIMIT) },
 }
 const WINDOW_MS = 4_000
 /** Requests that a target accepts in {@link WINDOW_MS}: 1.5 times its rate limit, and a tolerance of five. */
 const MAX_IN_WINDOW = Math.floor(1.5 * RATE_LIMIT * (WINDOW_MS / 1_000) + 5)
-/** Time after the first response with a rate limit from which the requests of a box count, in ms. */
+/** Time after its first response with a rate limit from which the requests of a box count, in ms. */
 const NOTICE_DELAY_MS = 500
 const TEST_MS = 7_000
 /** Time within which a request is refused if no target accepts it, in ms. */
@@ -31,7 +29,7 @@
 
 /** Responses of a fleet in which every target has the rate limit. */
 const ALL_LIMITED = Object.fromEntries(
-	Array.from({ length: TARGET_COUNT }, (_, i) => [`t${i}`, LIMITED_ANSWER]),
+	Array.from({ length: TARGET_COUNT }, (_, i) => [`t${i}`, LIMITED_RESPONSE]),
 )
 
 describe('targets with a rate limit for all boxes together', () => {
@@ -40,7 +38,7 @@
 
 	it('get no more requests than the limit, whatever the kind of request', async () => {
 		fleet = new NoticeFleet(
-			{ t0: LIMITED_ANSWER, t1: LIMITED_ANSWER },
+			{ t0: LIMITED_RESPONSE, t1: LIMITED_RESPONSE },
 			{ boxCount: BOXES, arePeersConnected: true },
 		)
 		await fleet.start()
@@ -66,7 +64,7 @@
 		fleet = new NoticeFleet(ALL_LIMITED, { boxCount: BOXES, arePeersConnected: true })
 		await fleet.start()
 		await fleet.sendRequests(ROUTES, 2_000)
-		fleet.setAnswers({})
+		fleet.setResponses({})
 		await fleet.sendRequests(ROUTES, 3_000)
 		expect(fleet.failuresAfter(3_500)).toBe(0)
 	})
--- a/packages/gateway/src/lib/testNoticeFleet.ts
+++ b/packages/gateway/src/lib/testNoticeFleet.ts
@@ -13,15 +13,15 @@
 export const DEFAULT_BOX_COUNT = 3
 /** Number of targets, which are named `t0`, `t1` and so on. */
 export const TARGET_COUNT = 6
-/** Time between two requests. */
+/** Time between two requests, in ms. */
 const REQUEST_INTERVAL_MS = 12
-/** Duration of a request at a target: long enough that each box uses several targets. */
+/** Duration of a request at a target, in ms: long enough that each box uses several targets. */
 const REQUEST_DURATION_MS = 100
-/** Time after a leaving notice in which a box may still send to the target. */
+/** Time after a leaving notice in which a box may still send to the target, in ms. */
 export const MAX_DRAIN_DELAY_MS = 2_000
-/** Backoff that {@link BACKOFF_ANSWER} asks for. */
+/** Backoff that {@link BACKOFF_RESPONSE} asks for, in ms. */
 export const BACKOFF_MS = 1_500
-/** Time after a notice in which requests that were already in flight may arrive. */
+/** Time after a notice in which requests that were already in flight may arrive, in ms. */
 const IN_FLIGHT_MS = 500
 
 /** A success without a notice. */
@@ -36,7 +36,7 @@
 	[TEST_DIALECT.headers.leaving.header]: TEST_DIALECT.headers.leaving.value,
 }
 /** A refusal that asks for a backoff. */
-export const BACKOFF_ANSWER: NotifyingResponse = {
+export const BACKOFF_RESPONSE: NotifyingResponse = {
 	status: 503,
 	notRun: true,
 	isStream: false,
@@ -70,7 +70,7 @@
 
 	/** `answers`: responses by target name, used once {@link start} has completed; other targets succeed. */
 	constructor(
-		private answers: Readonly<Record<string, NotifyingResponse>>,
+		private responses: Readonly<Record<string, NotifyingResponse>>,
 		private readonly options: NoticeFleetOptions = {},
 	) {
 		this.boxCount = options.boxCount ?? DEFAULT_BOX_COUNT
@@ -92,8 +92,8 @@
 	}
 
 	/** Replaces the responses of the targets. */
-	setAnswers(answers: Readonly<Record<string, NotifyingResponse>>): void {
-		this.answers = answers
+	setResponses(answers: Readonly<Record<string, NotifyingResponse>>): void {
+		this.responses = answers
 	}
 
 	async stop(): Promise<void> {
@@ -126,7 +126,7 @@
 			})
 	}
 
-	/** Number of pairs of a box and a target that reported to it that it is leaving. */
+	/** Number of pairs of a box and a target that has sent it a leaving notice. */
 	get leavingPairs(): number {
 		return this.sumOverPairs((requests) => (leavingNoticeAt(requests) < Infinity ? 1 : 0))
 	}
@@ -135,14 +135,14 @@
 	get requestsAfterDrain(): number {
 		return this.sumOverPairs((requests) => {
 			const drainEndsAt = leavingNoticeAt(requests) + MAX_DRAIN_DELAY_MS
-			return requests.filter(({ receivedAt: at }) => at > drainEndsAt).length
+			return requests.filter(({ receivedAt }) => receivedAt > drainEndsAt).length
 		})
 	}
 
 	/** Responses that asked a box for a backoff. */
 	get backoffCount(): number {
 		return this.sumOverPairs(
-			(requests) => requests.filter(({ response: answer }) => asksForBackoff(answer)).length,
+			(requests) => requests.filter(({ response }) => asksForBackoff(response)).length,
 		)
 	}
 
@@ -150,10 +150,12 @@
 	get maxRequestsInBackoff(): number {
 		let maxRequests = 0
 		this.sumOverPairs((requests) => {
-			for (const { receivedAt: at, response: answer } of requests) {
-				if (!asksForBackoff(answer)) continue
+			for (const { receivedAt, response } of requests) {
+				if (!asksForBackoff(response)) continue
 				const inBackoff = requests.filter(
-					(other) => other.receivedAt > at + IN_FLIGHT_MS && other.receivedAt < at + BACKOFF_MS,
+					(other) =>
+						other.receivedAt > receivedAt + IN_FLIGHT_MS &&
+						other.receivedAt < receivedAt + BACKOFF_MS,
 				)
 				maxRequests = Math.max(maxRequests, inBackoff.length)
 			}
@@ -167,20 +169,20 @@
 	 */
 	requestTimes(name: string, noticeAgeMs: number): readonly number[] {
 		const requests = this.targets.find((target) => target.name === name)?.requests ?? []
-		const notified = requests.filter(({ receivedAt: at }) => at >= this.noticesFrom)
+		const notified = requests.filter(({ receivedAt }) => receivedAt >= this.noticesFrom)
 		const noticedAt = new Map<string, number>()
-		for (const { receivedAt: at, response: answer, requestId } of notified) {
+		for (const { receivedAt, response, requestId } of notified) {
 			const box = boxNameOf(requestId)
-			if (!noticedAt.has(box) && namesRate(answer)) noticedAt.set(box, at)
+			if (!noticedAt.has(box) && statesRate(response)) noticedAt.set(box, receivedAt)
 		}
 		const isNoticed = ({
-			receivedAt: at,
+			receivedAt,
 			requestId,
 		}: {
 			receivedAt: number
 			requestId: string
-		}): boolean => at >= (noticedAt.get(boxNameOf(requestId)) ?? Infinity) + noticeAgeMs
-		return notified.filter(isNoticed).map(({ receivedAt: at }) => at)
+		}): boolean => receivedAt >= (noticedAt.get(boxNameOf(requestId)) ?? Infinity) + noticeAgeMs
+		return notified.filter(isNoticed).map(({ receivedAt }) => receivedAt)
 	}
 
 	/** Requests that failed, of those sent more than `afterMs` after notices began. */
@@ -217,10 +219,10 @@
 	private firstAvailableAt(box: string, now: number): number {
 		const availableTimes = this.targets.map(({ requests }) => {
 			const backoffs = requests.filter(
-				({ requestId, receivedAt: at, response: answer }) =>
-					boxNameOf(requestId) === box && at < now && asksForBackoff(answer),
+				({ requestId, receivedAt, response }) =>
+					boxNameOf(requestId) === box && receivedAt < now && asksForBackoff(response),
 			)
-			return Math.max(0, ...backoffs.map(({ receivedAt: at }) => at + BACKOFF_MS))
+			return Math.max(0, ...backoffs.map(({ receivedAt }) => receivedAt + BACKOFF_MS))
 		})
 		return Math.min(...availableTimes)
 	}
@@ -234,7 +236,7 @@
 		return sum
 	}
 
-	/** Creates a box. One that can reach others is registered in the store already, as after a restart. */
+	/** Creates a box. If boxes can reach each other, it is already registered in the store, as after a restart. */
 	private async makeBox(name: string): Promise<TestBox> {
 		if (!this.options.arePeersConnected) return new TestBox(name, this.store)
 		const port = await freePort()
@@ -248,7 +250,7 @@
 			name,
 			headers: TEST_DIALECT.headers,
 			processingMs: REQUEST_DURATION_MS,
-			responseFor: () => (performance.now() < this.noticesFrom ? OK : (this.answers[name] ?? OK)),
+			responseFor: () => (performance.now() < this.noticesFrom ? OK : (this.responses[name] ?? OK)),
 		})
 	}
 }
@@ -260,15 +262,15 @@
 function leavingNoticeAt(requests: NotifyingTarget['requests']): number {
 	const { header } = TEST_DIALECT.headers.leaving
 	return (
-		requests.find(({ response: answer }) => answer.noticeHeaders[header] !== undefined)
-			?.receivedAt ?? Infinity
+		requests.find(({ response }) => response.noticeHeaders[header] !== undefined)?.receivedAt ??
+		Infinity
 	)
 }
 
-function asksForBackoff({ noticeHeaders: notice }: NotifyingResponse): boolean {
-	return notice['retry-after'] !== undefined
+function asksForBackoff({ noticeHeaders }: NotifyingResponse): boolean {
+	return noticeHeaders['retry-after'] !== undefined
 }
 
-function namesRate({ noticeHeaders: notice }: NotifyingResponse): boolean {
-	return notice[TEST_DIALECT.headers.requestRate] !== undefined
+function statesRate({ noticeHeaders }: NotifyingResponse): boolean {
+	return noticeHeaders[TEST_DIALECT.headers.requestRate] !== undefined
 }
