--- a/internal/bench/src/lib/gatewayBenchConfig.ts
+++ b/internal/bench/src/lib/gatewayBenchConfig.ts
@@ -9,7 +9,7 @@
 	type ZoneName,
 } from '@stallwing/core'
 import type { Dialect, StoreLayout } from '@stallwing/gateway'
-import { STANDIN_HEADERS, STANDIN_OWN_HEADER } from '@stallwing/standins'
+import { STANDIN_HEADERS, STANDIN_HEADER_PATTERN } from '@stallwing/standins'
 import * as E from 'fp-ts/lib/Either.js'
 
 const ENGINE = brandId<ServiceName>('engine')
@@ -120,7 +120,7 @@
 export const BENCH_DIALECT: Dialect = {
 	headers: STANDIN_HEADERS,
 	reservedHeaders: new Set(['authorization', 'account', 'expected-target', 'deadline-ms', 'rank']),
-	platformHeaderPattern: STANDIN_OWN_HEADER,
+	platformHeaderPattern: STANDIN_HEADER_PATTERN,
 	ignoredHeaders: new Set(['own-instance']),
 	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
--- a/packages/core/src/lib/allowance/SpendingLimits.ts
+++ b/packages/core/src/lib/allowance/SpendingLimits.ts
@@ -142,14 +142,18 @@
 
 function spentUnderSpendingLimits(
 	draws: BoxDraws,
-	{ era, spendingLimits: mark, startedAt }: PredecessorFacts,
+	{ era, spendingLimits, startedAt }: PredecessorFacts,
 ): Readonly<Record<AccountName, number>> {
 	const { drawn, holder } = draws
-	if (!mark || mark.holder !== holder || (mark.era ?? era) !== era) return drawn
-	const age = startedAt - mark.wallTime
+	if (!spendingLimits || spendingLimits.holder !== holder || (spendingLimits.era ?? era) !== era)
+		return drawn
+	const age = startedAt - spendingLimits.wallTime
 	if (age < -WALL_CLOCK_TOLERANCE_MS || age > SPENDING_LIMIT_VALIDITY_MS) return drawn
 	const spent: Record<AccountName, number> = {}
 	for (const [account, tokens] of Object.entries<number>(drawn))
-		spent[account as AccountName] = Math.min(tokens, mark.marks[account as AccountName] ?? tokens)
+		spent[account as AccountName] = Math.min(
+			tokens,
+			spendingLimits.marks[account as AccountName] ?? tokens,
+		)
 	return spent
 }
--- a/packages/gateway/src/lib/AllowanceClaimer.ts
+++ b/packages/gateway/src/lib/AllowanceClaimer.ts
@@ -54,10 +54,7 @@
 		return this.eraOfClaim
 	}
 
-	/**
-	 * True once other boxes have had {@link REPLICATED_DRAWS_WAIT_MS} to write the draws of the previous
-	 * process.
-	 */
+	/** True once other boxes have had {@link REPLICATED_DRAWS_WAIT_MS} to write the draws of the previous process. */
 	private hasWaitedForReplicatedDraws(): boolean {
 		const now = this.options.now()
 		if (this.uncertainSince === undefined) {
--- a/packages/gateway/src/lib/AllowanceDrawer.ts
+++ b/packages/gateway/src/lib/AllowanceDrawer.ts
@@ -67,12 +67,12 @@
 const MAX_RECORD_AGE_AFTER_RESTORE_MS = 300
 /** Time after a restore for which {@link MAX_RECORD_AGE_AFTER_RESTORE_MS} applies, in ms. */
 const RESTORE_SETTLE_MS = 10_000
-/** Duration of one write of the record, in ms. */
+/** Estimated duration of one write of the record, in ms. */
 const RECORD_WRITE_MS = 10
 /** Delay after a failed store call before {@link AllowanceDrawer.maintain} makes another, in ms. */
 const FAULT_RETRY_DELAY_MS = 900
 const MAX_WRITE_ATTEMPTS = 8
-/** Maximum delay after the second conflict of a write, in ms. It grows by as much with each further conflict. */
+/** Maximum delay after the second conflict of a write, in ms. Each further conflict adds the same amount. */
 const CONFLICT_BACKOFF_MS = 12
 const CLAIM_RETRY_DELAY_MS = 200
 
@@ -108,7 +108,7 @@
 		return this.record.isReachable
 	}
 
-	/** Updates the ledger on whether the spending limits have expired. */
+	/** Records in the ledger whether the spending limits have expired. */
 	updateSpendingLimitExpiry(): void {
 		this.state.ledger.setSpendingLimitsExpired(this.spendingLimits.isExpired)
 	}
@@ -210,10 +210,7 @@
 		return nextSpendingLimit(view, this.state.secondsToExhaustion(view))
 	}
 
-	/**
-	 * Draws for all accounts in one write. Draws do not overlap: a call during a draw starts another one after
-	 * it.
-	 */
+	/** Draws for all accounts in one write. Draws do not overlap: a call during a draw starts another one after it. */
 	async draw(): Promise<void> {
 		if (this.isClosed) return
 		if (!this.claimed) {
@@ -261,8 +258,8 @@
 	}
 
 	/**
-	 * True if a waiting request needs more tokens than this box holds and a draw could provide them. If a draw
-	 * could not, it is still true at times, so that the box publishes how much it has spent.
+	 * True if a waiting request needs more tokens than this box holds and a draw could provide them. If a draw could
+	 * not, still true once per {@link MIN_DRAW_INTERVAL_MS}, so that the box publishes how much it has spent.
 	 */
 	private queueNeedsDraw(): boolean {
 		const isIntervalOver = this.options.now() - this.lastDrawAt >= MIN_DRAW_INTERVAL_MS
--- a/packages/gateway/src/lib/AllowanceRecord.ts
+++ b/packages/gateway/src/lib/AllowanceRecord.ts
@@ -38,10 +38,7 @@
 	revision: StoreRevision | undefined
 	/** True if the last store call of this box succeeded. */
 	isReachable = false
-	/**
-	 * The record before the store was restored from a backup; kept until all boxes have written their draws
-	 * again.
-	 */
+	/** The record before the store was restored from a backup; kept until all boxes have written their draws again. */
 	private rowBeforeRestore: AllowanceRow | undefined
 	/** Draws that other boxes replicated to this one and that may be missing from {@link row}. */
 	private readonly replicatedDraws = new Map<BoxName, ReplicatedDraws>()
@@ -148,8 +145,7 @@
 	}
 
 	private adopt(item: StoreItem | undefined): StoreFault | undefined {
-		// An unreadable record counts as a failed call: treating it as empty would ignore the draws of other
-		// boxes.
+		// An unreadable record counts as a failed call: treating it as empty would ignore the draws of other boxes.
 		const row = item ? readAllowanceRow(item.value) : EMPTY_ALLOWANCE_ROW
 		if (!row) return this.noteFault({ kind: 'unreadable', cause: this.options.recordKey })
 		const previousRevision = this.revision
--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -38,7 +38,7 @@
 	readonly completeResponse: { readonly head: ResponseHead; readonly body: Buffer } | undefined
 }
 
-/** Limits on the silence of a target, after which the request is retried at another one. */
+/** Maximum times that a target may be silent before the request is retried at another one. */
 interface ResponseTimeouts {
 	readonly firstByteMs: number
 	readonly idleMs: number
@@ -49,7 +49,7 @@
 const MIN_FIRST_BYTE_TIMEOUT_MS = 150
 const MIN_STREAM_FIRST_BYTE_TIMEOUT_MS = 800
 const IDLE_TIMEOUT_MS = 1_000
-/** Multiple of the expected latency that a target gets until its first byte. */
+/** First-byte timeout, as a multiple of the expected latency. */
 const FIRST_BYTE_TIMEOUT_FACTOR = 6
 
 /** One attempt to serve a request at one target. */
@@ -66,7 +66,7 @@
 	private timeout: NodeJS.Timeout | undefined
 	private startedAt = 0
 	private firstByteMs = -1
-	/** Whether this box, not the target, aborted the response. */
+	/** True if this box, not the target, aborted the response. */
 	private isAborted = false
 	private mayHaveSentBytes = false
 	private hasEnded = false
@@ -79,9 +79,7 @@
 		/** The request may be retried at another target if this one is silent for too long. */
 		private readonly mayRetryElsewhere: boolean,
 		private readonly content: RequestContent,
-		/**
-		 * True if the caller has disconnected; the argument is how long the request waited for a connection, in ms.
-		 */
+		/** True if the caller has disconnected. `waitedMs` is how long the request waited for a connection. */
 		private readonly hasCallerDisconnected: (waitedMs: number) => Promise<boolean>,
 	) {}
 
@@ -243,7 +241,7 @@
 		this.abort('silent')
 	}
 
-	/** A network fault may have cut all idle connections at once, while new ones work. */
+	/** A network fault may have broken all idle connections while new ones work. */
 	private closeIdleConnections(): void {
 		this.context.poolFor(this.placement.target).closeIdle()
 	}
--- a/packages/gateway/src/lib/ConnectionPool.ts
+++ b/packages/gateway/src/lib/ConnectionPool.ts
@@ -19,7 +19,7 @@
 	readonly discard: () => void
 }
 
-/** Result of a connection attempt; `refused` means that no process listens at the address. */
+/** Result of a probe; `refused` means that no process listens at the address. */
 export type ProbeResult = 'accepted' | 'refused' | 'no-answer'
 
 const SECOND_MS = 1_000
--- a/packages/gateway/src/lib/CordonDirectory.ts
+++ b/packages/gateway/src/lib/CordonDirectory.ts
@@ -22,7 +22,7 @@
 	readonly log: (event: LogEvent) => void
 }
 
-/** Time for which a cordon stays active that is missing after a restore of the store from a backup, in ms. */
+/** Time for which a cordon stays active after a restore of the store from a backup has lost it, in ms. */
 const CORDON_RETENTION_MS = 3_000
 
 /**
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -22,13 +22,13 @@
 	readonly rank: string
 	/** Id of the last event received, to resume a stream. */
 	readonly lastEvent: string
-	/** In a response: marks it as sent by a target. A success without this header is not a response of a target. */
+	/** In a response: proves that a target sent it. A success without this header is not a response of a target. */
 	readonly mark: string
 	/** In a response: the target did not run the request. */
 	readonly notRun: string
 	/** In a response: the load of the target. */
 	readonly load: string
-	/** In a response: remaining time in which the target is slow after its start, in ms. */
+	/** In a response: remaining time for which the target is slow after its start, in ms. */
 	readonly coldMs: string
 	/** In a response, with this value: the target is about to stop and takes no new work. */
 	readonly leaving: { readonly header: string; readonly value: string }
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -35,8 +35,8 @@
 import { TokenReservation } from './TokenReservation.js'
 
 /**
- * Delay of this process, or wait for a connection, from which it checks whether the caller has disconnected before it
- * sends the request on, in ms. The check takes one more iteration of the event loop.
+ * Minimum delay of this process, or wait for a connection, after which it waits for an iteration of the event loop before
+ * it checks whether the caller has disconnected, in ms.
  */
 const MIN_DELAY_FOR_DISCONNECT_CHECK_MS = 25
 /**
@@ -110,7 +110,7 @@
 		await this.tryTargets(parsed.right, traffic, body, content)
 	}
 
-	/** A final refusal because of the configuration requires a current one; otherwise the caller may retry. */
+	/** A refusal based on the configuration is final only if the configuration is current; otherwise callers may retry. */
 	private refusalKindFor(kind: RefusalKind): RefusalKind {
 		const dependsOnConfiguration = kind === 'no-route' || kind === 'no-key'
 		if (!dependsOnConfiguration || this.context.isConfigurationCurrent()) return kind
@@ -241,14 +241,13 @@
 	}
 
 	/**
-	 * True if the caller has disconnected: checked before a target is chosen, and again after `waitedMs` of waiting
-	 * for a connection. A process that is late may have read the request, or seen the connection open, before it
-	 * reads that the caller has disconnected.
+	 * True if the caller has disconnected. Checked before a target is chosen, and again after `waitedMs` of waiting for
+	 * a connection. A delayed process may have read the request some time before it reads the end of the connection.
 	 */
 	private async hasCallerDisconnected(waitedMs = 0): Promise<boolean> {
 		if (Math.max(waitedMs, this.context.currentDelayMs()) >= MIN_DELAY_FOR_DISCONNECT_CHECK_MS)
 			await nextEventLoopIteration()
-		// Node emits `close` on the response some turns after it has read the end of the connection.
+		// Node emits `close` on the response some iterations after it has read the end of the connection.
 		if (this.message.socket.readableEnded) this.handleDisconnect()
 		return this.hasEnded
 	}
@@ -375,7 +374,7 @@
 			this.refuse('target-failed', cause)
 			return
 		}
-		// The last target that accepted work may have rejected this very request.
+		// The last target that accepted work may have rejected this request.
 		const unavailability = this.request && findUnavailability(this.context, this.request)
 		const detail = unavailability ? `${cause}; ${unavailability.detail}` : cause
 		this.refuse('no-target', detail, unavailability?.availableInMs)
@@ -388,7 +387,7 @@
 		this.recordEnd('request-failed', { cause })
 	}
 
-	/** Refuses the request. A retry is known to fail before `availableInMs` has passed. */
+	/** Refuses the request. A retry within `availableInMs` is known to fail. */
 	private refuse(kind: RefusalKind, detail: string, availableInMs = 0): void {
 		this.reservation.settle(this.mayHaveRun ? Infinity : 0)
 		const refusal = createRefusal(kind, detail, this.context.random(), availableInMs)
--- a/packages/gateway/src/lib/FeedRelay.test.ts
+++ b/packages/gateway/src/lib/FeedRelay.test.ts
@@ -30,7 +30,7 @@
 	readonly store = new MemoryStore({
 		now: () => Date.now(),
 		sleep,
-		outcomeOf: (caller) => this.fateOf(caller),
+		outcomeOf: (caller) => this.outcomeOfCall(caller),
 	})
 	private readonly relays = new Map<string, FeedRelay>()
 	private readonly followers: PrefixFollower[] = []
@@ -112,7 +112,7 @@
 		}
 	}
 
-	private fateOf(caller: string): CallOutcome {
+	private outcomeOfCall(caller: string): CallOutcome {
 		this.calls.set(caller, (this.calls.get(caller) ?? 0) + 1)
 		return this.boxesWithoutStore.has(caller) ? 'lost' : 'served'
 	}
--- a/packages/gateway/src/lib/FeedRelay.ts
+++ b/packages/gateway/src/lib/FeedRelay.ts
@@ -210,7 +210,7 @@
 		})
 	}
 
-	/** Learns the current era from any store response after a peer named a newer one. Makes one call at a time. */
+	/** Pings the store to learn its era, after a peer named a newer one. Makes one call at a time. */
 	private refreshEra(): void {
 		this.pendingEraCheck ??= this.options.store
 			.ping()
@@ -361,9 +361,9 @@
 	kind: 'no-answer',
 	cause: 'neither the store nor any peer provided current data',
 }
-/** The store answered from an era that other boxes know to be over. */
+/** The response of the store is of a past era: other boxes know a newer one. */
 const PAST_ERA: StoreFault = { kind: 'past-era' }
-/** Makes the follower of a prefix list, which returns the pending listing. */
+/** Makes the follower of a prefix list again, which returns the pending listing. */
 const RELIST: StoreFault = { kind: 'history-gone' }
 
 /** Converts a result from peers for a follower; `fault` if no peer had current data. */
--- a/packages/gateway/src/lib/FeedState.ts
+++ b/packages/gateway/src/lib/FeedState.ts
@@ -13,9 +13,9 @@
 	needsListing = false
 	/** Why the last call to the store about this prefix failed; undefined if it succeeded. */
 	fault: StoreFault | undefined
-	/** True if the last call to the store failed or no peer that was last asked had current data. */
+	/** True if the last call to the store failed, or if no peer had current data when last asked. */
 	hasNoSource = false
-	/** Time before which no watch starts, so that changes that follow closely are fetched together. */
+	/** Time before which no watch starts, so that changes in quick succession are fetched together. */
 	batchUntil = NEVER
 	/** Time since which the store has been continuously reachable; undefined while it is not known to be. */
 	private storeAvailableSince: number | undefined
--- a/packages/gateway/src/lib/FleetMembership.test.ts
+++ b/packages/gateway/src/lib/FleetMembership.test.ts
@@ -7,14 +7,14 @@
 const ACCOUNT = brandId<AccountName>('acme')
 
 describe('FleetMembership', () => {
-	let fate: CallOutcome
+	let outcome: CallOutcome
 	let store: MemoryStore
 	let memberships: FleetMembership[]
 
 	beforeEach(() => {
 		vi.useFakeTimers()
-		fate = 'served'
-		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => fate })
+		outcome = 'served'
+		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => outcome })
 		memberships = []
 	})
 
@@ -86,11 +86,11 @@
 	})
 
 	it('joins as soon as the store is reachable', async () => {
-		fate = 'refused'
+		outcome = 'refused'
 		const membership = start(0, 0)
 		await vi.advanceTimersByTimeAsync(5_000)
 		expect(membership.isFleetKnown).toBe(false)
-		fate = 'served'
+		outcome = 'served'
 		await vi.advanceTimersByTimeAsync(1_500)
 		expect(membership.isFleetKnown).toBe(true)
 	})
--- a/packages/gateway/src/lib/Gateway.test.ts
+++ b/packages/gateway/src/lib/Gateway.test.ts
@@ -4,12 +4,9 @@
 import { sleep } from './sleep.js'
 import { TestBox, trafficConfigOf, type TargetHandler } from './testBox.js'
 
-/**
- * Time in which the store answers a call that it received before it became unavailable, in ms: several times the
- * usual one.
- */
-const STORE_ANSWER_MS = 40
-/** Time in which a box must apply a change in the store, in ms: generous, for a busy machine. */
+/** Time within which the store responds to calls that it received before it became unavailable, in ms. */
+const STORE_RESPONSE_MS = 40
+/** Time within which a box must apply a change in the store, in ms. */
 const WAIT_TIMEOUT_MS = 10_000
 
 const respondOk: TargetHandler = (_message, response) => response.end('ok')
@@ -196,8 +193,8 @@
 		box.listTarget('t1', entry.address, true)
 		await sleep(100)
 		box.storeFate = 'lost'
-		// A watch that the store received before could still report the removals.
-		await sleep(STORE_ANSWER_MS)
+		// Watches that the store received earlier could still report the removals.
+		await sleep(STORE_RESPONSE_MS)
 		box.store.remove('targets/t1')
 		box.store.remove('targets/t2')
 		for (let i = 0; i < 10; i++) {
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -33,7 +33,7 @@
 import { watchDurationMs } from './watchDurationMs.js'
 import { sleep } from './sleep.js'
 
-/** Time beyond its duration after which a watch of the store counts as failed, in ms. */
+/** Time after its end at which a watch of the store counts as failed, in ms. */
 const WATCH_GRACE_MS = 500
 const ALLOWANCE_INTERVAL_MS = 400
 const MAINTENANCE_INTERVAL_MS = 250
@@ -42,7 +42,7 @@
  * refused, because they might not finish within the shutdown grace.
  */
 const READINESS_PROPAGATION_MS = 2_800
-/** Time before the end of the shutdown grace at which unspent tokens are returned at the latest, in ms. */
+/** Unspent tokens are returned at least this long before the end of the shutdown grace, in ms. */
 const TOKEN_RETURN_MARGIN_MS = 2_400
 const SHUTDOWN_MARGIN_MS = 300
 const SHUTDOWN_POLL_INTERVAL_MS = 50
@@ -131,7 +131,7 @@
 			lenderAddresses: (account) => this.membership.lenderAddresses(account),
 			tokenPeers: peers,
 			metrics: options.metrics,
-			// Token budgets need a clock that never runs fast, on which a spending limit would expire too early.
+			// Token budgets need a clock that never runs fast: on a fast one, spending limits would expire too early.
 			now: options.now,
 			wallTime: options.wallTime,
 			uptimeMs: options.uptimeMs,
@@ -200,8 +200,7 @@
 		this.readinessServer = new ReadinessServer(() => this.isReady, options.log)
 		this.peerServer = new PeerServer({
 			lend: (account, request) => this.allowance.lend(account, request),
-			fleetWork: (peer) =>
-				this.membership.isLarge ? this.sharing.workSharing.fleetWork(peer) : [],
+			fleetWork: (box) => (this.membership.isLarge ? this.sharing.workSharing.fleetWork(box) : []),
 			acceptTokens: (account, tokens, budgetsVersion) =>
 				this.allowance.acceptTokens(account, tokens, budgetsVersion),
 			storeDraws: (draws) => this.allowance.receiveDraws(draws),
@@ -220,8 +219,8 @@
 	/** True if this box can serve callers. */
 	get isReady(): boolean {
 		const { traffic, isStopping } = this.context
-		const isFleetKnown = this.membership.isFleetKnown && this.allowance.isReady
-		return traffic !== undefined && this.targets.isListed && isFleetKnown && !isStopping
+		const hasJoinedFleet = this.membership.isFleetKnown && this.allowance.isReady
+		return traffic !== undefined && this.targets.isListed && hasJoinedFleet && !isStopping
 	}
 
 	/** Starts to listen and to follow the store. @throws if an address cannot be listened on. */
@@ -270,7 +269,7 @@
 		this.options.log({ name: 'stop-done', fields: { open: this.openRequests } })
 	}
 
-	/** Reports a new era of the store to the parts that do not follow the store themselves. */
+	/** Reports a new era of the store to the token budgets, which do not follow the store themselves. */
 	private handleEraChange({ era, previousEra, call }: EraChange): void {
 		// The first response of the store only sets the era in which this process starts.
 		if (previousEra === 0) return
--- a/packages/gateway/src/lib/GatewayContext.ts
+++ b/packages/gateway/src/lib/GatewayContext.ts
@@ -67,8 +67,8 @@
 	/** Reports unknown headers of responses. */
 	readonly unknownHeaders: UnknownHeaders
 	/**
-	 * Called when a response states the rate limit of its target; undefined if it no longer does. `hasChanged` tells
-	 * if the rate differs from the known one.
+	 * Called when a response states the rate limit of its target, or no longer does (`perSecond` is undefined).
+	 * `hasChanged`: the rate differs from the known one.
 	 */
 	onTargetRate(target: TargetEntry, perSecond: number | undefined, hasChanged: boolean): void
 	retryBudget(service: ServiceName): RetryBudget
@@ -76,6 +76,6 @@
 	sustainedDelayMs(): number
 	/** Current delay of the event loop, in ms: input may have waited that long before it is read. */
 	currentDelayMs(): number
-	/** Estimated number of boxes that share the limits of the fleet; never 0. */
+	/** Number of boxes that share the limits of the fleet, estimated until they are listed; never 0. */
 	boxCount(): number
 }
--- a/packages/gateway/src/lib/PrefixFollower.test.ts
+++ b/packages/gateway/src/lib/PrefixFollower.test.ts
@@ -4,7 +4,7 @@
 import { sleep } from './sleep.js'
 
 describe('PrefixFollower', () => {
-	let fate: CallOutcome
+	let outcome: CallOutcome
 	let store: MemoryStore
 	let received: Record<string, string>
 	let contacts: string[]
@@ -12,10 +12,10 @@
 
 	beforeEach(() => {
 		vi.useFakeTimers()
-		fate = 'served'
+		outcome = 'served'
 		received = {}
 		contacts = []
-		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => fate })
+		store = new MemoryStore({ now: () => Date.now(), sleep, outcomeOf: () => outcome })
 		follower = new PrefixFollower(store.connect('box'), {
 			prefix: 'targets/',
 			waitMs: 1_000,
@@ -50,11 +50,11 @@
 		store.put('targets/a', 'ready')
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
-		fate = 'lost'
+		outcome = 'lost'
 		await vi.advanceTimersByTimeAsync(600)
 		store.put('targets/a', 'draining')
 		store.compact()
-		fate = 'served'
+		outcome = 'served'
 		await vi.advanceTimersByTimeAsync(1_500)
 		expect(received).toEqual({ 'targets/a': 'draining' })
 	})
@@ -74,9 +74,9 @@
 	it('reports once that the store is unreachable and once that it is reachable again', async () => {
 		void follower.run()
 		await vi.advanceTimersByTimeAsync(100)
-		fate = 'refused'
+		outcome = 'refused'
 		await vi.advanceTimersByTimeAsync(3_000)
-		fate = 'served'
+		outcome = 'served'
 		await vi.advanceTimersByTimeAsync(3_000)
 		expect(contacts).toEqual(['reached', 'lost', 'reached'])
 	})
--- a/packages/gateway/src/lib/Refusal.ts
+++ b/packages/gateway/src/lib/Refusal.ts
@@ -57,15 +57,12 @@
 	'quarantined',
 ])
 
-/** Minimum delay before a retry. */
+/** Minimum delay before a retry, in ms. */
 const MIN_RETRY_AFTER_MS = 100
-/** Random part of the delay, so that callers do not retry together. */
+/** Maximum random part of the delay, in ms, so that callers do not retry at the same time. */
 const RETRY_AFTER_JITTER_MS = 200
 
-/**
- * Creates a refusal. `random` in [0, 1) spreads the retries; a retry is known to fail before `availableInMs` has
- * passed.
- */
+/** Creates a refusal. `random` in [0, 1) spreads the retries. A retry within `availableInMs` is known to fail. */
 export function createRefusal(
 	kind: RefusalKind,
 	detail: string,
--- a/packages/gateway/src/lib/ResponseWriter.ts
+++ b/packages/gateway/src/lib/ResponseWriter.ts
@@ -14,7 +14,7 @@
 	lastEventId: number | undefined
 	/** The caller can tell the end of the stream from a broken connection. */
 	isSelfDelimiting = true
-	/** Events sent. */
+	/** Number of events sent. */
 	eventCount = 0
 	/** Time at which the complete response or the first event was sent; undefined until then. */
 	firstWriteAt: number | undefined
@@ -73,10 +73,7 @@
 		this.response.end()
 	}
 
-	/**
-	 * Sends an error response of the gateway. Its status says whether the request may have run, its body why it
-	 * failed.
-	 */
+	/** Sends an error response. Its status states whether the request may have run, its body why it failed. */
 	sendRefusal(status: number, refusal: Refusal, isRequestRead: boolean): void {
 		if (this.response.headersSent) {
 			this.destroy()
@@ -99,8 +96,8 @@
 	}
 
 	/**
-	 * Ends the body with the connection, as the target does. Any other framing would claim that the body is complete,
-	 * which the close of the target's connection does not prove.
+	 * Ends the body by closing the connection, as the target does. Any other framing would claim that the body is
+	 * complete, which the close of the target's connection does not prove.
 	 */
 	private delimitByClose(headers: string[]): void {
 		this.response.useChunkedEncodingByDefault = false
--- a/packages/gateway/src/lib/ServiceLimits.test.ts
+++ b/packages/gateway/src/lib/ServiceLimits.test.ts
@@ -1,14 +1,12 @@
-/**
- * If there are more boxes than allowed connections, some boxes must open none: the target resets the excess, and
- * requests on it may have run. Counts the connections over all boxes.
- */
+// Guards against fleets that open more connections to a target than it accepts: the target resets the excess, and
+// requests on those connections may have run.
 import { brandId, type BoxName, type ServiceName, type TargetName } from '@stallwing/core'
 import { describe, expect, it } from 'vitest'
 import { ServiceLimits } from './ServiceLimits.js'
 
 const SERVICE = brandId<ServiceName>('service')
 const TARGETS = Array.from({ length: 20 }, (_, i) => brandId<TargetName>(`t${i}`))
-/** Upper bound on the connections that the test opens per box. */
+/** Maximum number of connections that the test opens per box. */
 const MAX_OPENED = 1_000
 
 /** Connections that all boxes together may open to a target. */
--- a/packages/gateway/src/lib/ServiceLimits.ts
+++ b/packages/gateway/src/lib/ServiceLimits.ts
@@ -31,7 +31,7 @@
 	readonly maxConnections: number
 }
 
-/** Cached permissions. The cache is cleared when it is full. */
+/** The cache is cleared when it is full. */
 const MAX_CACHED_PERMISSIONS = 10_000
 
 /** This box's share of the limits that a service sets for the whole fleet. */
@@ -45,7 +45,7 @@
 	isAtConnectionLimit(target: TargetName): boolean {
 		const { boxCount, lowestMaxConnections, maxConnections, pools, serviceOf } = this.options
 		const inUse = pools.inUse(target)
-		// Fast path: runs for each target at each choice, and most targets have no request of this box.
+		// Fast path: this runs for every target of every choice, and most have no request of this box.
 		if (inUse === 0 && boxCount() <= lowestMaxConnections()) return false
 		const service = serviceOf(target)
 		if (!service) return false
--- a/packages/gateway/src/lib/SuspendAwareClock.test.ts
+++ b/packages/gateway/src/lib/SuspendAwareClock.test.ts
@@ -7,42 +7,42 @@
 /** Largest lag per step due to the resolution of the uptime and to jumps below the detection threshold, in ms. */
 const SLACK_MS = 60
 
-/** FakeMachine whose clocks the test controls. */
+/** Machine whose clocks the test controls. */
 class FakeMachine {
 	/** Actual elapsed time, in ms. */
 	actualMs = 0
-	steady = 100
-	private timeOfDay = 1_700_000_000_000
-	private boot = 5_000
+	monotonic = 100
+	private wallClock = 1_700_000_000_000
+	private uptime = 5_000
 	readonly clock: SuspendAwareClock
 
-	/** `isUptimeOwn`: the uptime is that of this machine and not of another one. */
+	/** If `isUptimeOwn` is false, the uptime is that of another machine. */
 	constructor(private readonly isUptimeOwn: boolean) {
 		this.clock = new SuspendAwareClock({
-			monotonic: () => this.steady,
-			wallClock: () => this.timeOfDay,
-			uptime: () => Math.floor(this.boot / 10) * 10,
+			monotonic: () => this.monotonic,
+			wallClock: () => this.wallClock,
+			uptime: () => Math.floor(this.uptime / 10) * 10,
 		})
 	}
 
 	run(ms: number): void {
 		for (let elapsed = 0; elapsed < ms; elapsed += 20) {
-			this.steady += 20
-			this.timeOfDay += 20
-			this.boot += this.isUptimeOwn ? 20 : 7
+			this.monotonic += 20
+			this.wallClock += 20
+			this.uptime += this.isUptimeOwn ? 20 : 7
 			this.actualMs += 20
 			this.clock.suspendAwareNow()
 		}
 	}
 
 	suspend(ms: number): void {
-		this.timeOfDay += ms
-		this.boot += this.isUptimeOwn ? ms : 3
+		this.wallClock += ms
+		this.uptime += this.isUptimeOwn ? ms : 3
 		this.actualMs += ms
 	}
 
 	adjustWallClock(byMs: number): void {
-		this.timeOfDay += byMs
+		this.wallClock += byMs
 	}
 }
 
@@ -63,7 +63,7 @@
 		if (kind === 'run') machine.run(ms)
 		else if (kind === 'suspend') machine.suspend(ms)
 		else machine.adjustWallClock(ms)
-		machine.steady += 5
+		machine.monotonic += 5
 		machine.actualMs += 5
 		const now = machine.clock.suspendAwareNow()
 		if (now < before || !check()) return false
@@ -77,36 +77,39 @@
 		for (const isUptimeOwn of [true, false]) {
 			const machine = new FakeMachine(isUptimeOwn)
 			machine.run(8_000)
-			const [world, work] = [machine.clock.suspendAwareNow(), machine.clock.monotonicNow()]
+			const [suspendAware, monotonic] = [
+				machine.clock.suspendAwareNow(),
+				machine.clock.monotonicNow(),
+			]
 			machine.suspend(8_000)
 			machine.run(20)
-			expect(machine.clock.suspendAwareNow() - world).toBeGreaterThanOrEqual(8_000)
-			expect(machine.clock.suspendAwareNow() - world).toBeLessThan(8_100)
-			expect(machine.clock.monotonicNow() - work).toBe(20)
+			expect(machine.clock.suspendAwareNow() - suspendAware).toBeGreaterThanOrEqual(8_000)
+			expect(machine.clock.suspendAwareNow() - suspendAware).toBeLessThan(8_100)
+			expect(machine.clock.monotonicNow() - monotonic).toBe(20)
 		}
 	})
 
 	it('ignores adjustments of the wall clock if the uptime is trusted', () => {
 		const machine = new FakeMachine(true)
 		machine.run(8_000)
-		const world = machine.clock.suspendAwareNow()
+		const startedAt = machine.clock.suspendAwareNow()
 		for (const by of [2_000, -7_000, 30_000]) {
 			machine.adjustWallClock(by)
 			machine.run(100)
 		}
-		expect(machine.clock.suspendAwareNow() - world).toBe(300)
+		expect(machine.clock.suspendAwareNow() - startedAt).toBe(300)
 	})
 
 	it('treats a wall clock that was set forward as a suspension without a trusted uptime', () => {
 		const machine = new FakeMachine(false)
 		machine.run(8_000)
-		const world = machine.clock.suspendAwareNow()
+		const startedAt = machine.clock.suspendAwareNow()
 		machine.adjustWallClock(2_000)
 		machine.run(100)
-		expect(machine.clock.suspendAwareNow() - world).toBe(2_100)
+		expect(machine.clock.suspendAwareNow() - startedAt).toBe(2_100)
 		machine.adjustWallClock(-2_000)
 		machine.run(100)
-		expect(machine.clock.suspendAwareNow() - world).toBe(2_200)
+		expect(machine.clock.suspendAwareNow() - startedAt).toBe(2_200)
 	})
 
 	it('never decreases, and never lags behind actual time with a trusted uptime', () => {
--- a/packages/gateway/src/lib/TargetPools.ts
+++ b/packages/gateway/src/lib/TargetPools.ts
@@ -8,7 +8,7 @@
 	idleTimeoutMarginMs: 1_000,
 }
 
-/** The connection pools of this box, by target. Another target may reuse an address later, so the name is the key. */
+/** The connection pools of this box, by target name, because another target may later get the same address. */
 export class TargetPools {
 	private readonly pools = new Map<TargetName, ConnectionPool>()
 
@@ -25,7 +25,7 @@
 		return pool
 	}
 
-	/** Connections that serve a request. */
+	/** Number of connections that serve a request. */
 	inUse(target: TargetName): number {
 		const pool = this.pools.get(target)
 		return pool ? pool.size - pool.idleCount : 0
--- a/packages/gateway/src/lib/TimeLimit.ts
+++ b/packages/gateway/src/lib/TimeLimit.ts
@@ -13,12 +13,12 @@
 		private readonly arrivedAt: number,
 	) {}
 
-	/** Time since the arrival of the request. */
+	/** Time since the arrival of the request, in ms. */
 	get elapsedMs(): number {
 		return this.suspendAwareNow() - this.arrivedAt
 	}
 
-	/** Time until the limit; negative once it has passed. */
+	/** Time until the limit, in ms; negative once it has passed. */
 	remainingMs({ route, deadlineMs = Infinity }: CallerRequest): number {
 		return Math.min(route.timeoutMs, deadlineMs) - this.elapsedMs
 	}
--- a/packages/gateway/src/lib/TrafficDirectory.test.ts
+++ b/packages/gateway/src/lib/TrafficDirectory.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest'
 import { TestFleet, seededRandom } from './testFleet.js'
 
-/** Time within which a configuration must be in force on all boxes, in ms. */
+/** Time within which all boxes must apply a configuration, in ms. */
 const MAX_PROPAGATION_MS = 2_000
 const STEP_MS = 50
 const SEEDS = [1, 2, 3, 4, 5, 6]
--- a/packages/gateway/src/lib/TrafficDirectory.ts
+++ b/packages/gateway/src/lib/TrafficDirectory.ts
@@ -20,7 +20,7 @@
 	/** Key of the configuration in the store. */
 	readonly key: string
 	readonly readConfig: StoreLayout['readConfig']
-	/** Called when a newer configuration comes into force. */
+	/** Called when a newer configuration becomes active. */
 	readonly onTraffic: (traffic: ActiveTraffic, tokens: TokenBudgets) => void
 	/** Monotonic clock, in ms. */
 	readonly now: () => number
@@ -29,12 +29,12 @@
 
 /**
  * Applies the configuration from the store and never reverts to an older one. Within an era of the store, a higher
- * revision is a newer configuration. After a restore of the store from a backup, the store may hold a lower version than
- * the one in force, which then stays until the operator writes it again or a newer one.
+ * revision is a newer configuration. After a restore from a backup, the store may hold a lower version than the active
+ * one, which stays active until the operator writes it again or a newer one.
  */
 export class TrafficDirectory {
 	private revision = NO_REVISION
-	/** Version in force; undefined before the first configuration. */
+	/** Active version; undefined before the first configuration. */
 	private version: number | undefined
 	/** Revision of the last configuration that was not applied, so that it is parsed and logged only once. */
 	private rejectedRevision = NO_REVISION
@@ -48,7 +48,7 @@
 		if (!isSameRevision(item.revision, this.rejectedRevision)) this.applyItem(item)
 	}
 
-	/** Applies the configuration of an item. If it cannot be read, the last one stays in force. */
+	/** Applies the configuration of an item. If it cannot be read, the last one stays active. */
 	private applyItem({ revision, value }: StoreItem): void {
 		const { log, now, onTraffic, readConfig } = this.options
 		const read = readConfig(value)
@@ -73,10 +73,10 @@
 		const traffic = { index: new TrafficIndex(read.right), revision, since: now() }
 		const tokens = budgetsOf(traffic)
 		onTraffic(traffic, tokens)
-		this.logInForce(traffic, tokens)
+		this.logApplied(traffic, tokens)
 	}
 
-	private logInForce({ index, revision }: ActiveTraffic, tokens: TokenBudgets): void {
+	private logApplied({ index, revision }: ActiveTraffic, tokens: TokenBudgets): void {
 		const { accounts, routes, version } = index.config
 		const budgets = Object.entries<number>(tokens)
 			.map(([account, budget]) => `${account}:${budget}`)
--- a/packages/gateway/src/lib/UnknownHeaders.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.ts
@@ -10,7 +10,7 @@
 	readonly log: (event: LogEvent) => void
 }
 
-/** Number of names that are recorded; further ones are ignored. */
+/** Further names are ignored. */
 const MAX_RECORDED_NAMES = 50
 /** Characters of a name and of a value in a log event. */
 const MAX_LOGGED_CHARS = 80
@@ -24,8 +24,8 @@
 	private readonly recordedNames = new Set<string>()
 
 	constructor(private readonly options: UnknownHeadersOptions) {
-		const { headers, ignoredHeaders: unreadHeaders } = options.dialect
-		this.knownNames = new Set([...headerNamesOf(headers), ...unreadHeaders])
+		const { headers, ignoredHeaders } = options.dialect
+		this.knownNames = new Set([...headerNamesOf(headers), ...ignoredHeaders])
 	}
 
 	/** Checks the headers of a response. */
--- a/packages/gateway/src/lib/readTargetNotice.ts
+++ b/packages/gateway/src/lib/readTargetNotice.ts
@@ -16,8 +16,8 @@
 
 /**
  * Rate limit of a target in requests per second from all boxes together. It holds while its responses state it.
- * - `silent`: the response says nothing about it; the previous limit remains.
- * - `none`: the target has no limit, or no longer.
+ * - `silent`: the response states no limit; the previous one remains.
+ * - `none`: the target has no limit; a previous one has ended.
  * - `named`: the limit is `perSecond`.
  * - `unreadable`: the limit cannot be parsed; the previous one remains.
  */
@@ -83,7 +83,7 @@
 		case 'asked':
 			return String(backoff.ms)
 		case 'unreadable':
-			return `not understood: ${backoff.text}`
+			return `unreadable: ${backoff.text}`
 		default:
 			return exhaustive(backoff)
 	}
@@ -98,7 +98,7 @@
 		case 'named':
 			return String(rate.perSecond)
 		case 'unreadable':
-			return `not understood: ${rate.text}`
+			return `unreadable: ${rate.text}`
 		default:
 			return exhaustive(rate)
 	}
--- a/packages/gateway/src/lib/restoredAllowance.test.ts
+++ b/packages/gateway/src/lib/restoredAllowance.test.ts
@@ -15,9 +15,9 @@
 const PROPERTY_SEED = Number(process.env['MONEY_SEED'] ?? 20261203)
 const STEP_MS = 50
 const SEVEN_BOXES = Array.from({ length: 7 }, (_, index) => `box-${index + 1}`)
-const COPY_INTERVAL_MS = 500
-/** Maximum age of a restored backup, in copies. It is less than the time that draws last. */
-const MAX_RESTORE_COPIES = 20
+const BACKUP_INTERVAL_MS = 500
+/** Maximum age of a restored backup, in backups. */
+const MAX_RESTORE_AGE = 20
 /** Tokens requested in each step. They exhaust the budget in 15 s. */
 const TOKENS_PER_STEP = 100
 const STORE_OUTAGE_MS = 800
@@ -26,34 +26,34 @@
 interface RestoreScenario {
 	readonly name: string
 	/** Time after the start at which the backup is taken, in ms. */
-	readonly copyAtMs: number
-	/** Age of the backup when it is restored, in ms. */
-	readonly copyAgeMs: number
+	readonly backupAtMs: number
+	/** Age of the backup at the restore, in ms. */
+	readonly backupAgeMs: number
 	/** Boxes that are killed when the store fails. */
 	readonly killed: readonly string[]
 	/** Boxes that are cut off from the store from before the failure until long after it. */
 	readonly cutOff: readonly string[]
-	/** Number of restores from the same backup, in short succession. */
+	/** Number of restores from the same backup, in quick succession. */
 	readonly restores: number
 }
 
 const DEFAULT_SCENARIO: RestoreScenario = {
 	name: '',
-	copyAtMs: 3_000,
-	copyAgeMs: 5_000,
+	backupAtMs: 3_000,
+	backupAgeMs: 5_000,
 	killed: [],
 	cutOff: [],
 	restores: 1,
 }
 const SCENARIOS: readonly RestoreScenario[] = [
 	{ ...DEFAULT_SCENARIO, name: 'no box is killed' },
-	{ ...DEFAULT_SCENARIO, name: 'the backup is older than all draws', copyAtMs: 0 },
+	{ ...DEFAULT_SCENARIO, name: 'the backup is older than all draws', backupAtMs: 0 },
 	{ ...DEFAULT_SCENARIO, name: 'one box is killed', killed: ['box-1'] },
 	{ ...DEFAULT_SCENARIO, name: 'all boxes are killed', killed: BOXES },
 	{
 		...DEFAULT_SCENARIO,
 		name: 'all boxes are killed, the backup is older than all draws',
-		copyAtMs: 0,
+		backupAtMs: 0,
 		killed: BOXES,
 	},
 	{ ...DEFAULT_SCENARIO, name: 'one box is cut off', cutOff: ['box-2'] },
@@ -116,7 +116,7 @@
 })
 
 /** Takes backups of the store at a fixed interval. */
-class StoreCopies {
+class StoreBackups {
 	private readonly backups: MemoryStoreSnapshot[] = []
 
 	constructor(private readonly fleet: BudgetTestFleet) {
@@ -125,16 +125,16 @@
 
 	/** Advances the virtual time and takes backups. */
 	async advance(ms: number): Promise<void> {
-		for (let left = ms; left > 0; left -= COPY_INTERVAL_MS) {
-			await advance(this.fleet, Math.min(left, COPY_INTERVAL_MS))
+		for (let left = ms; left > 0; left -= BACKUP_INTERVAL_MS) {
+			await advance(this.fleet, Math.min(left, BACKUP_INTERVAL_MS))
 			this.backups.push(this.fleet.store.snapshot())
 		}
 	}
 
-	/** Restores the `age`-th latest backup, at most {@link MAX_RESTORE_COPIES} old. */
+	/** Restores the `age`-th latest backup, at most {@link MAX_RESTORE_AGE} old. */
 	restore(age: number): void {
-		const copy = this.backups.at(-Math.min(age, MAX_RESTORE_COPIES, this.backups.length))
-		if (copy) this.fleet.store.restore(copy)
+		const backup = this.backups.at(-Math.min(age, MAX_RESTORE_AGE, this.backups.length))
+		if (backup) this.fleet.store.restore(backup)
 	}
 }
 
@@ -150,13 +150,13 @@
 
 async function restoreStore(
 	fleet: BudgetTestFleet,
-	copy: MemoryStoreSnapshot,
+	backup: MemoryStoreSnapshot,
 	{ cutOff, killed }: RestoreScenario,
 ): Promise<void> {
 	for (const box of BOXES) fleet.setCutOff(box, true)
 	for (const box of killed) fleet.kill(box, 2_000)
 	await spendEvenly(fleet, STORE_OUTAGE_MS)
-	fleet.store.restore(copy)
+	fleet.store.restore(backup)
 	for (const box of BOXES) fleet.setCutOff(box, cutOff.includes(box))
 }
 
@@ -165,12 +165,12 @@
 	const fleet = new BudgetTestFleet(budget, 0)
 	const atStart = fleet.store.snapshot()
 	await advance(fleet, CLAIM_ALL_MS)
-	await spendEvenly(fleet, scenario.copyAtMs)
-	const copy = scenario.copyAtMs === 0 ? atStart : fleet.store.snapshot()
-	await spendEvenly(fleet, scenario.copyAgeMs - STORE_OUTAGE_MS)
+	await spendEvenly(fleet, scenario.backupAtMs)
+	const backup = scenario.backupAtMs === 0 ? atStart : fleet.store.snapshot()
+	await spendEvenly(fleet, scenario.backupAgeMs - STORE_OUTAGE_MS)
 	for (const box of scenario.cutOff) fleet.setCutOff(box, true)
 	for (let i = 0; i < scenario.restores; i++) {
-		await restoreStore(fleet, copy, scenario)
+		await restoreStore(fleet, backup, scenario)
 		await spendEvenly(fleet, 2_000)
 	}
 	await spendEvenly(fleet, 4_000)
@@ -213,7 +213,7 @@
 			fc.nat({ max: 1_000 }),
 			async (events, faultSeed) => {
 				const fleet = new BudgetTestFleet(LARGE_BUDGET, faultSeed, drawingBoxes, true, {}, boxes)
-				const backups = new StoreCopies(fleet)
+				const backups = new StoreBackups(fleet)
 				await advance(fleet, CLAIM_ALL_MS)
 				let maxSpent = LARGE_BUDGET
 				let version = 1
--- a/packages/gateway/src/lib/restoredStore.test.ts
+++ b/packages/gateway/src/lib/restoredStore.test.ts
@@ -4,7 +4,7 @@
 // Guards against comparing revisions across a restore of the store from a backup, which resets them: boxes must neither
 // ignore newer documents because of their lower revisions, nor revert to older documents from the backup.
 
-/** Time within which a configuration or a target's new state must be in force on all boxes, in ms. */
+/** Time within which all boxes must apply a configuration or the new state of a target, in ms. */
 const MAX_PROPAGATION_MS = 2_000
 const STEP_MS = 50
 const SEEDS = [1, 2]
@@ -193,7 +193,7 @@
 			)
 			fleet.stop()
 			expect(late).toEqual([])
-			// Two boxes of a zone watch, two prefixes each.
+			// Two boxes of each zone watch two prefixes each.
 			expect(lists).toBeLessThanOrEqual(2 * 2 * zoneCount)
 		},
 	)
--- a/packages/gateway/src/lib/sendToTarget.ts
+++ b/packages/gateway/src/lib/sendToTarget.ts
@@ -112,8 +112,7 @@
 	}
 
 	private send(socket: Socket): void {
-		// A close-delimited response ends alike after a reset and a normal close; only the error of the socket tells
-		// them apart.
+		// For a close-delimited response, only an error of the socket distinguishes a reset from a normal close.
 		socket.prependOnceListener('error', () => {
 			this.hasSocketError = true
 		})
--- a/packages/gateway/src/lib/testBox.ts
+++ b/packages/gateway/src/lib/testBox.ts
@@ -17,7 +17,7 @@
 import {
 	MemoryStore,
 	STANDIN_HEADERS,
-	STANDIN_OWN_HEADER,
+	STANDIN_HEADER_PATTERN,
 	type CallOutcome,
 } from '@stallwing/standins'
 import { Metrics } from '@stallwing/telemetry'
@@ -37,7 +37,7 @@
 		'rank',
 		'last-event-id',
 	]),
-	platformHeaderPattern: STANDIN_OWN_HEADER,
+	platformHeaderPattern: STANDIN_HEADER_PATTERN,
 	ignoredHeaders: new Set(['own-instance']),
 	leastUrgentRank: 9,
 	wrongTargetStatus: 421,
@@ -166,7 +166,7 @@
 
 /** A gateway in this process with a store in memory and targets on loopback. */
 export class TestBox {
-	/** What happens to calls to the store, if this box created it. */
+	/** Outcome of calls to the store, if this box created it. */
 	storeFate: CallOutcome = 'served'
 	/** Total time for which the machine has been suspended, in ms. */
 	suspendedMs = 0
@@ -329,7 +329,7 @@
 		})
 	}
 
-	/** Sends a request and disconnects immediately, while the process is blocked and reads neither. */
+	/** Sends a request and disconnects immediately. The process is blocked meanwhile, and reads both at once. */
 	async sendAndDisconnect(id: string): Promise<void> {
 		const socket = connect({ port: this.port, host: '127.0.0.1' })
 		await new Promise<void>((resolve) => socket.once('connect', resolve))
--- a/packages/gateway/src/lib/testBudgetFleet.ts
+++ b/packages/gateway/src/lib/testBudgetFleet.ts
@@ -40,7 +40,7 @@
 	private readonly storeCalls = new Map<string, number>()
 	private hasStoreFaults = false
 	private startCount = 0
-	private fateCount = 0
+	private storeCallCount = 0
 	private lendResponseCount = 0
 	private budgets: Budgets
 
@@ -58,8 +58,8 @@
 		this.store = new MemoryStore({
 			now: () => Date.now(),
 			sleep,
-			outcomeOf: (caller) => this.nextFate(caller),
-			lateWriteDelayMs: () => 700 + (this.fateCount % 5) * 900,
+			outcomeOf: (caller) => this.nextOutcome(caller),
+			lateWriteDelayMs: () => 700 + (this.storeCallCount % 5) * 900,
 		})
 		this.budgets = { version: 1, tokens: { [ACCOUNT]: this.budget } }
 		for (const box of boxes) this.start(box)
@@ -187,13 +187,13 @@
 		return this.storeCalls.get(box) ?? 0
 	}
 
-	private nextFate(caller: string): CallOutcome {
-		this.fateCount++
+	private nextOutcome(caller: string): CallOutcome {
+		this.storeCallCount++
 		this.storeCalls.set(caller, (this.storeCalls.get(caller) ?? 0) + 1)
 		if (this.cutOff.has(caller)) return 'lost'
 		if (!this.hasStoreFaults) return 'served'
-		const fates: readonly CallOutcome[] = ['served', 'answer-lost', 'late', 'refused', 'served']
-		return fates[(this.fateCount * 7 + this.faultSeed) % fates.length] ?? 'served'
+		const outcomes: readonly CallOutcome[] = ['served', 'answer-lost', 'late', 'refused', 'served']
+		return outcomes[(this.storeCallCount * 7 + this.faultSeed) % outcomes.length] ?? 'served'
 	}
 
 	private tokenPeers(box: string): TokenPeers {
@@ -222,10 +222,7 @@
 	}
 }
 
-/**
- * Wraps a store so that calls and answers wait while the box is suspended and are dropped once its process is
- * dead.
- */
+/** Wraps a store so that calls and responses wait while the box is suspended, and are dropped once its process is dead. */
 function storeForProcess(store: KeyValueStore, boxProcess: BoxProcess): KeyValueStore {
 	const guard = <A extends unknown[], R>(call: (...args: A) => Promise<R>) => {
 		return async (...args: A): Promise<R> => {
--- a/packages/gateway/src/lib/testFleet.ts
+++ b/packages/gateway/src/lib/testFleet.ts
@@ -135,7 +135,7 @@
 		return placement !== undefined
 	}
 
-	/** Configuration in force on a box. */
+	/** Active configuration of a box. */
 	versionOf(box: string): string | undefined {
 		return this.appliedVersions.get(box)?.at(-1)
 	}
--- a/packages/gateway/src/lib/testPartitions.ts
+++ b/packages/gateway/src/lib/testPartitions.ts
@@ -101,7 +101,7 @@
 export const TEST_TIMEOUT_MS = 300_000
 export const SEEDS = [1, 2, 3, 4, 5, 6]
 
-/** Runs a scenario with partitions of all kinds; describes each after which boxes were stale for too long. */
+/** Runs a scenario with partitions of all kinds; returns descriptions of those after which boxes were stale for too long. */
 export async function findLateRecoveries(scenario: PartitionScenario): Promise<string[]> {
 	const late: string[] = []
 	for (const fleet of FLEETS) {
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -25,4 +25,4 @@
 } from './lib/NotifyingTarget.js'
 export { startService, type ServiceOptions } from './lib/startService.js'
 export { NO_TARGET_FAULTS, type TargetFaults } from './lib/targetFaults.js'
-export { STANDIN_HEADERS, STANDIN_OWN_HEADER } from './lib/standinHeaders.js'
+export { STANDIN_HEADERS, STANDIN_HEADER_PATTERN } from './lib/standinHeaders.js'
--- a/packages/standins/src/lib/CrashingTarget.ts
+++ b/packages/standins/src/lib/CrashingTarget.ts
@@ -5,9 +5,9 @@
 /** Options of a {@link CrashingTarget}. @public */
 export interface CrashingTargetOptions {
 	readonly name: string
-	/** Returns true for the body of a request that crashes the target. */
+	/** True if a request with this body crashes the target. */
 	readonly isFatal: (body: string) => boolean
-	/** Time from the arrival of such a request to the crash, in ms. */
+	/** Time from the arrival of a crashing request to the crash, in ms. */
 	readonly crashDelayMs: number
 	/** Time from the crash to the restart, in ms. */
 	readonly restartDelayMs: number
--- a/packages/standins/src/lib/EngineScheduler.ts
+++ b/packages/standins/src/lib/EngineScheduler.ts
@@ -8,7 +8,7 @@
 	unreadPromptTokens: number
 	producedTokens: number
 	isCancelled: boolean
-	/** Called after each step in which the run takes part; {@link isFinished} tells whether it was the last. */
+	/** Called after each step of the run; {@link isFinished} tells whether it was the last. */
 	progressListeners: (() => void)[]
 }
 
--- a/packages/standins/src/lib/standinHeaders.ts
+++ b/packages/standins/src/lib/standinHeaders.ts
@@ -15,4 +15,4 @@
 } as const
 
 /** Pattern of further headers that belong to the platform of the stand-ins. @public */
-export const STANDIN_OWN_HEADER = /^own-/
+export const STANDIN_HEADER_PATTERN = /^own-/
--- a/packages/standins/src/lib/targetFaults.ts
+++ b/packages/standins/src/lib/targetFaults.ts
@@ -4,7 +4,7 @@
 	delayMs: number
 	/** Number of requests to refuse with 503 before they run. */
 	refuse: number
-	/** Number of responses to break off by closing the connection. */
+	/** Number of responses to abort by closing the connection. */
 	closeEarly: number
 	/** Number of responses that never end. */
 	stall: number
--- a/packages/store/src/lib/KeyValueStore.ts
+++ b/packages/store/src/lib/KeyValueStore.ts
@@ -23,7 +23,7 @@
 
 /**
  * Reason why a call failed.
- * - `refused`: the store did nothing because of a rate limit or because it is not serving.
+ * - `refused`: the store rejected the call, for instance because of a rate limit, and did nothing.
  * - `no-answer`: there was no response. A write may have been done, or may still be done while its condition holds.
  * - `history-gone`: the store no longer has the requested changes, or they are of a past era. List again.
  * - `past-era`: the response is of a past era. What it reports or wrote may be lost.
@@ -75,7 +75,7 @@
 	read(key: string): Promise<Either<StoreFault, StoreItem | undefined>>
 	/** Reads one item cheaply; it may be seconds old. Undefined if the key is absent. */
 	readStale(key: string): Promise<Either<StoreFault, StoreItem | undefined>>
-	/** Checks by a cheap read of no item whether the store responds. */
+	/** Checks whether the store responds, by a cheap read of an absent key. */
 	ping(): Promise<boolean>
 	/** Reads all items below a prefix cheaply; they may be seconds old. */
 	listStale(prefix: string): Promise<Either<StoreFault, readonly StoreItem[]>>
--- a/packages/store/src/lib/PrefixFollower.ts
+++ b/packages/store/src/lib/PrefixFollower.ts
@@ -20,7 +20,7 @@
 export type StoreContact =
 	{ readonly kind: 'reached' } | { readonly kind: 'lost'; readonly fault: StoreFault }
 
-/** Largest multiple of the retry pause, which limits failing calls because each call is billed. */
+/** Largest multiple of the retry pause. The pause grows because failing calls are billed too. */
 const MAX_RETRY_FACTOR = 8
 
 /**
--- a/packages/store/src/lib/StoreConnection.ts
+++ b/packages/store/src/lib/StoreConnection.ts
@@ -35,7 +35,7 @@
 	): Promise<EraResponse<WriteResult<number>>>
 	lease(ttlMs: number): Promise<EraResponse<StoreLease>>
 	read(key: string, isStale: boolean): Promise<EraResponse<StoreItem<number> | undefined>>
-	/** Cheap read of no item. */
+	/** Cheap read of an absent key. */
 	ping(): Promise<EraResponse<unknown>>
 }
 
--- a/packages/telemetry/src/lib/writeInChunks.test.ts
+++ b/packages/telemetry/src/lib/writeInChunks.test.ts
@@ -4,7 +4,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest'
 import { writeInChunks } from './writeInChunks.js'
 
-describe('writeInPieces', () => {
+describe('writeInChunks', () => {
 	let folder: string
 
 	beforeEach(() => {
