--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -139,9 +139,9 @@
 	 * Returns true if it did.
 	 */
 	private endIfQuarantined(content: RequestContent): boolean {
-		const heldBack = this.context.crashProtection.checkQuarantine(content, this.attemptsSent === 0)
-		if (!heldBack) return false
-		const { detail, opensInMs } = heldBack
+		const quarantine = this.context.crashProtection.checkQuarantine(content, this.attemptsSent === 0)
+		if (!quarantine) return false
+		const { detail, opensInMs } = quarantine
 		if (this.attemptsSent > 0) this.fail(detail)
 		else this.refuse('quarantined', detail, opensInMs)
 		return true
--- a/packages/gateway/src/lib/TokenLending.test.ts
+++ b/packages/gateway/src/lib/TokenLending.test.ts
@@ -109,7 +109,7 @@
 		expect(ledger.free(account)).toBe(100 + (requests[0] ?? 0))
 	})
 
-	it('requests tokens of one account from a lender that still owes a response for another', async () => {
+	it('requests tokens of one account from a lender whose response for another account is pending', async () => {
 		const requests: string[] = []
 		const lending = new TokenLending({
 			tokenPeers: {
--- a/packages/gateway/src/lib/feedCodec.ts
+++ b/packages/gateway/src/lib/feedCodec.ts
@@ -15,9 +15,9 @@
 
 /** A {@link FeedResponse} in a message between boxes. */
 interface WireFeedResponse {
-	/** Negative if the store never answered. */
+	/** Age of the last confirmation by the store, in ms; negative if there is none. */
 	readonly wordAgeMs: number
-	/** Missing if the sender runs an older version; read as 0. */
+	/** Time for which the store has been reachable, in ms. Missing if the sender runs an older version; read as 0. */
 	readonly answeredMs?: number
 	/** Era of all revisions. Missing if the sender runs an older version; read as the era of the requesting box. */
 	readonly era?: number
--- a/packages/gateway/src/lib/handleFeedRequest.ts
+++ b/packages/gateway/src/lib/handleFeedRequest.ts
@@ -25,7 +25,7 @@
 	readonly now: () => number
 }
 
-/** Larger responses are left to the store, in bytes; equals the store's maximum item size. */
+/** Maximum response, in bytes; boxes get larger ones from the store. Equals the store's maximum item size. */
 const MAX_RESPONSE_BYTES = 1024 * 1024
 
 const NO_CONFIRMATION: FeedResponse = {
--- a/packages/gateway/src/lib/testRateFleet.ts
+++ b/packages/gateway/src/lib/testRateFleet.ts
@@ -14,7 +14,7 @@
 /** The only target, which states its rate limit in each response. */
 export const TARGET: TargetEntry = { ...targetEntryOf('t', 'unused:1'), bornAt: 1_800_000_000_000 }
 const DATAGRAM_LATENCY_MS = 1
-/** Time from the choice of the target until its response head arrives. */
+/** Time from the choice of the target until its response head arrives, in ms. */
 const RESPONSE_HEAD_LATENCY_MS = 40
 
 /** Options of a {@link RateFleet}. */
--- a/packages/gateway/src/lib/watchFile.ts
+++ b/packages/gateway/src/lib/watchFile.ts
@@ -1,6 +1,6 @@
 import { statSync } from 'node:fs'
 
-/** Time between two checks of the file. */
+/** Time between two checks of the file, in ms. */
 const POLL_INTERVAL_MS = 1_000
 
 /** Calls back when the modification time of a file has changed. A missing file counts as time 0. @public */
