--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -139,7 +139,10 @@
 	 * Returns true if it did.
 	 */
 	private endIfQuarantined(content: RequestContent): boolean {
-		const quarantine = this.context.crashProtection.checkQuarantine(content, this.attemptsSent === 0)
+		const quarantine = this.context.crashProtection.checkQuarantine(
+			content,
+			this.attemptsSent === 0,
+		)
 		if (!quarantine) return false
 		const { detail, opensInMs } = quarantine
 		if (this.attemptsSent > 0) this.fail(detail)
