--- a/packages/core/src/lib/placement/TargetAdmission.ts
+++ b/packages/core/src/lib/placement/TargetAdmission.ts
@@ -15,7 +15,7 @@
  * Why no target of a service accepts requests:
  * - `none`: no target is listed, or all are leaving.
  * - `cordoned`: all remaining targets are in cordoned zones.
- * - `backoff`: all remaining targets are in a backoff or reopening after one.
+ * - `backoff`: all remaining targets are in a backoff, or half-open after one and busy with a request.
  * - `rate`: this box has used up its share of the rate limit that a target advertises.
  * - `cold`: the remaining targets are cold and at their limit; some of them may be in a backoff.
  * @public
@@ -34,7 +34,7 @@
  * before. Callers refused during the backoff retry at about the same time at all boxes; without this limit their
  * requests overload the target, which then requests the next backoff (`overloadSimulation.test.ts`).
  */
-const DEFAULT_REOPENING_MS: Millis = 1_000
+const DEFAULT_HALF_OPEN_MS: Millis = 1_000
 
 /** Limits the length of log lines. */
 const MAX_REPORTED_RATE_LIMITS = 3
@@ -44,8 +44,8 @@
 export interface AdmissionOptions {
 	/** If undefined, neither the limits of cold targets nor advertised limits are enforced. */
 	readonly rateLimits?: TargetRateLimitsOptions
-	/** See {@link DEFAULT_REOPENING_MS}. */
-	readonly reopeningMs?: Millis
+	/** See {@link DEFAULT_HALF_OPEN_MS}. */
+	readonly halfOpenMs?: Millis
 }
 
 /**
@@ -57,12 +57,12 @@
 	private coldStarts: ReadonlyMap<ServiceName, ColdStart> = new Map()
 
 	private readonly rateLimits: TargetRateLimits | undefined
-	private readonly reopeningMs: Millis
+	private readonly halfOpenMs: Millis
 
-	constructor({ rateLimits, reopeningMs = DEFAULT_REOPENING_MS }: AdmissionOptions) {
+	constructor({ rateLimits, halfOpenMs = DEFAULT_HALF_OPEN_MS }: AdmissionOptions) {
 		this.rateLimits =
 			rateLimits && new TargetRateLimits(rateLimits, (service) => this.coldStarts.get(service))
-		this.reopeningMs = reopeningMs
+		this.halfOpenMs = halfOpenMs
 	}
 
 	/** Sets the cold-start behaviour of each service. Targets of other services have no cold phase. */
@@ -107,16 +107,16 @@
 		return this.isInService(target) && target.notice.backoffUntil <= now
 	}
 
-	/** True if a backoff ended recently and a request to the target is waiting for its response. */
-	private isReopening(target: TargetState, now: Millis): boolean {
-		return now - target.notice.backoffUntil < this.reopeningMs && target.isAwaitingFirstByte
+	/** True if the target is half-open (a backoff ended recently) and a request to it awaits its response. */
+	private isHalfOpenAndBusy(target: TargetState, now: Millis): boolean {
+		return now - target.notice.backoffUntil < this.halfOpenMs && target.isAwaitingFirstByte
 	}
 
 	/** True if this box may send the target another request now. */
 	admits(target: TargetState, now: Millis): boolean {
 		return (
 			this.isOpen(target, now) &&
-			!this.isReopening(target, now) &&
+			!this.isHalfOpenAndBusy(target, now) &&
 			this.isWithinRateLimits(target, now)
 		)
 	}
@@ -197,7 +197,7 @@
 
 	private closedCauseOf(inService: readonly TargetState[], now: Millis): ClosedCause {
 		const areAllInBackoff = inService.every(
-			(target) => !this.isOpen(target, now) || this.isReopening(target, now),
+			(target) => !this.isOpen(target, now) || this.isHalfOpenAndBusy(target, now),
 		)
 		if (areAllInBackoff) return 'backoff'
 		return this.exhaustedRateLimits(inService, now).length > 0 ? 'rate' : 'cold'
--- a/packages/core/src/lib/placement/overloadSimulation.test.ts
+++ b/packages/core/src/lib/placement/overloadSimulation.test.ts
@@ -45,11 +45,11 @@
 		['plain requests of callers that retry once', { ...PLAIN, retries: 1 }],
 		['long requests', LONG],
 	])(
-		'serves %s again afterwards, because targets reopen with one request at a time',
+		'serves %s again afterwards, because half-open targets get one request at a time',
 		(_, options) => {
 			expect(servedFraction(options)).toBeGreaterThan(MIN_SERVED_FRACTION)
 			// Without that limit, the retries at the end of each backoff overload the targets again.
-			expect(servedFraction({ ...options, reopeningMs: 0 })).toBeLessThan(MIN_SERVED_FRACTION)
+			expect(servedFraction({ ...options, halfOpenMs: 0 })).toBeLessThan(MIN_SERVED_FRACTION)
 		},
 	)
 })
--- a/packages/core/src/lib/placement/overloadSimulation.ts
+++ b/packages/core/src/lib/placement/overloadSimulation.ts
@@ -26,7 +26,7 @@
 	/** Total time that a caller waits, in ms. */
 	readonly callerTimeoutMs: Millis
 	/** See `AdmissionOptions`. */
-	readonly reopeningMs?: Millis
+	readonly halfOpenMs?: Millis
 }
 
 export interface OverloadSimulationResult {
@@ -92,9 +92,9 @@
 			waiting: [],
 		}))
 		this.byName = new Map(this.targets.map((target) => [brandId(target.entry.name), target]))
-		const { reopeningMs } = options
+		const { halfOpenMs } = options
 		this.registries = Array.from({ length: options.boxes }, () => {
-			const registry = new TargetRegistry(reopeningMs === undefined ? {} : { reopeningMs })
+			const registry = new TargetRegistry(halfOpenMs === undefined ? {} : { halfOpenMs })
 			registry.replace(
 				this.targets.map((target) => target.entry),
 				0,
--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -198,10 +198,10 @@
 
 	/** True if the response belongs to this request and, for a success, comes from a target. */
 	private isResponseToThisRequest(head: ResponseHead): boolean {
-		const { requestId, mark } = this.context.dialect.headers
+		const { requestId, signature } = this.context.dialect.headers
 		const id = head.headers[requestId]
 		if (id !== undefined && id !== this.request.id) return false
-		return !isSuccess(head.status) || (id !== undefined && head.headers[mark] !== undefined)
+		return !isSuccess(head.status) || (id !== undefined && head.headers[signature] !== undefined)
 	}
 
 	private startStream(head: ResponseHead): void {
--- a/packages/gateway/src/lib/Dialect.ts
+++ b/packages/gateway/src/lib/Dialect.ts
@@ -23,7 +23,7 @@
 	/** Id of the last event received, to resume a stream. */
 	readonly lastEvent: string
 	/** In a response: proves that a target sent it. A success without this header is not a response of a target. */
-	readonly mark: string
+	readonly signature: string
 	/** In a response: the target did not run the request. */
 	readonly notRun: string
 	/** In a response: the load of the target. */
--- a/packages/gateway/src/lib/GatewayReport.ts
+++ b/packages/gateway/src/lib/GatewayReport.ts
@@ -98,7 +98,7 @@
 		const gauges: Record<string, number> = {
 			stallwing_open_requests: status.open,
 			stallwing_targets: status.targets,
-			stallwing_targets_lapsed: targets.lapsedCount,
+			stallwing_targets_lapsed: targets.expiredCount,
 			stallwing_targets_unreadable: targets.unreadableCount,
 			stallwing_suspect_requests: context.crashProtection.suspectCount,
 			stallwing_quarantined_requests: status.quarantined.length,
--- a/packages/gateway/src/lib/TargetDirectory.ts
+++ b/packages/gateway/src/lib/TargetDirectory.ts
@@ -65,7 +65,7 @@
 	constructor(private readonly options: TargetDirectoryOptions) {}
 
 	/** Number of targets that are used although the store no longer lists them. */
-	get lapsedCount(): number {
+	get expiredCount(): number {
 		return this.expired.expired.length
 	}
 
--- a/packages/gateway/src/lib/UnknownHeaders.test.ts
+++ b/packages/gateway/src/lib/UnknownHeaders.test.ts
@@ -11,7 +11,7 @@
 	let headers: UnknownHeaders
 	beforeEach(() => {
 		logEvents = []
-		const dialect = { ...TEST_DIALECT, headers: { ...TEST_DIALECT.headers, mark: 'own-mark' } }
+		const dialect = { ...TEST_DIALECT, headers: { ...TEST_DIALECT.headers, signature: 'own-mark' } }
 		const log = (event: LogEvent) => logEvents.push(event)
 		headers = new UnknownHeaders({ dialect, metrics: new Metrics(), log })
 	})
--- a/packages/gateway/src/lib/readTargetNotice.ts
+++ b/packages/gateway/src/lib/readTargetNotice.ts
@@ -119,7 +119,7 @@
 function readRate({ status, headers }: ResponseHead, names: HeaderNames): RateNotice {
 	const text = headers[names.requestRate]
 	if (text === undefined) {
-		const isFromTarget = isSuccess(status) && headers[names.mark] !== undefined
+		const isFromTarget = isSuccess(status) && headers[names.signature] !== undefined
 		return { kind: isFromTarget ? 'none' : 'silent' }
 	}
 	const values = valuesOf(text)
--- a/packages/standins/src/lib/CrashingTarget.ts
+++ b/packages/standins/src/lib/CrashingTarget.ts
@@ -14,7 +14,7 @@
 	/** Processing time of all other requests, in ms. */
 	readonly processingMs: number
 	/** Names of the response headers. */
-	readonly headers: { readonly requestId: string; readonly mark: string }
+	readonly headers: { readonly requestId: string; readonly signature: string }
 	/** Called at each start, with the address and the wall-clock time in ms. */
 	readonly onStarted: (address: string, startedAt: number) => void
 }
@@ -43,7 +43,7 @@
 				const { headers, name, processingMs } = this.options
 				const isStream = message.url?.includes('stream') || message.url?.includes('resume')
 				response.setHeader(headers.requestId, message.headers[headers.requestId] ?? '')
-				response.setHeader(headers.mark, name)
+				response.setHeader(headers.signature, name)
 				if (isStream) response.setHeader('Content-Type', 'text/event-stream')
 				if (!this.options.isFatal(body)) {
 					await sleep(processingMs)
--- a/packages/standins/src/lib/NotifyingTarget.ts
+++ b/packages/standins/src/lib/NotifyingTarget.ts
@@ -17,7 +17,11 @@
 export interface NotifyingTargetOptions {
 	readonly name: string
 	/** Names of the response headers. */
-	readonly headers: { readonly requestId: string; readonly mark: string; readonly notRun: string }
+	readonly headers: {
+		readonly requestId: string
+		readonly signature: string
+		readonly notRun: string
+	}
 	/** Processing time of a request, in ms; refused requests take none. */
 	readonly processingMs: number
 	/** Returns the response to a request. */
@@ -55,7 +59,7 @@
 			const reply = this.options.responseFor(requestId)
 			this.requests.push({ requestId, receivedAt: performance.now(), response: reply })
 			response.setHeader(headers.requestId, requestId)
-			response.setHeader(headers.mark, name)
+			response.setHeader(headers.signature, name)
 			if (reply.notRun) response.setHeader(headers.notRun, '1')
 			for (const [header, value] of Object.entries(reply.noticeHeaders))
 				response.setHeader(header, value)
--- a/packages/standins/src/lib/standinHeaders.ts
+++ b/packages/standins/src/lib/standinHeaders.ts
@@ -6,7 +6,7 @@
 	expectedTarget: 'expected-target',
 	rank: 'rank',
 	lastEvent: 'last-event-id',
-	mark: 'target-mark',
+	signature: 'target-mark',
 	notRun: 'not-run',
 	load: 'load',
 	coldMs: 'cold-ms',
